--- a/examples/lines.sh
+++ b/examples/lines.sh
@@ -18,10 +18,20 @@
 "$bin/standin" lines --port "$port" --dir "$work" >"$work/standin.log" 2>&1 &
 pids+=("$!")
 for _ in $(seq 200); do [ -s "$work/standin.log" ] && break; sleep 0.05; done
+# A process that could not listen ends; its log names the port that is taken.
+check_running() { # pid, name
+  kill -0 "$1" 2>/dev/null && return
+  echo "$2 did not start:" >&2
+  grep -m 1 -h 'address already in use' "$work/$2.log" >&2 || tail -n 3 "$work/$2.log" >&2
+  exit 1
+}
+check_running "${pids[0]}" standin
 for n in 1 2 3; do
   ENDIVEMOOR_BOOT="$work/vm$n.toml" "$bin/endivemoor" edge --metrics-port 0 >"$work/vm$n.log" 2>&1 &
   pids+=("$!")
 done
+sleep 0.5
+for n in 1 2 3; do check_running "${pids[$n]}" "vm$n"; done
 if ! "$bin/standin" play-lines --port "$port" --drain-pid "${pids[3]}"; then
   echo "logs in $work" >&2
   exit 1
