--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,7 @@
 GO ?= go
 EXAMPLE ?= demo
 
-.PHONY: demo run test lint build generate bench gap measure measure-control measure-spread matrix matrix-all fuzz
+.PHONY: demo run test lint build generate bench gap measure measure-control measure-spread matrix matrix-all fuzz gopls
 
 build:
 	$(GO) build -o bin/ ./cmd/...
@@ -26,6 +26,12 @@
 run: build
 	examples/run.sh $(EXAMPLE) stay
 
+# The language server's renames follow every use of a name. It is a tool of
+# the work on the code alone and so no dependency in go.mod.
+GOPLS_VERSION = v0.21.1
+gopls:
+	GOBIN=$(CURDIR)/bin $(GO) install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+
 generate:
 	$(GO) build -o bin/ github.com/twitchtv/twirp/protoc-gen-twirp google.golang.org/protobuf/cmd/protoc-gen-go
 	for d in peer/peerpb gossip/gossippb relay/relaypb; do \
