--- a/lane/conn.go
+++ b/lane/conn.go
@@ -13,45 +13,46 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// Conn is a connection with what it was given.
+// Conn is a connection to a target, with the session state that was set on it.
 type Conn struct {
 	// Link is the transport. Its user must leave it in the idle state.
 	Link
-	// Target is where it leads.
+	// Target is the target at the other end.
 	Target target.ID
 
 	lane *Lane
-	// workspace is whose requests it serves, as the target was told when it was opened.
+	// workspace is the workspace for which the connection was opened, as sent to the target then.
 	workspace string
 	values    map[string]string
 	prepared  map[shape]string
 	named     int
-	// asked is set if it was opened for a question of the fleet's own. Where
-	// connections are few, it is closed after it: each VM asks now and then, and
-	// what they keep meanwhile is missed by the VMs that serve.
-	asked   bool
-	idle    clock.Time
-	resting bool // guarded by the lane's lock, as all that follows
-	handed  clock.Time
-	runs    clock.Time // since when it has run something without a rest
-	rested  bool       // since it was handed out
-	overdue bool       // what it runs takes far longer than usual
+	// forControl is set if the connection was opened for a control command. Where connections are
+	// lent, it is closed after the command: every VM sends commands from time to time, and
+	// connections retained in between would be unavailable to the VMs that serve requests.
+	forControl   bool
+	idle         clock.Time
+	parked       bool // guarded by the lane's lock, like all fields below
+	acquiredAt   clock.Time
+	runningSince clock.Time // start of the current run, without a park in between
+	wasParked    bool       // since it was acquired
+	overdue      bool       // its statement takes far longer than usual
 }
 
-// shape is a prepared statement's body: two sessions that prepare the same one
-// share it on a connection, whatever they call it.
+// shape identifies a prepared statement by its body: sessions that prepare the same body share it
+// on a connection, under whatever names they prepared it.
 type shape struct {
 	text   string
 	writes bool
 }
 
-// maxPrepared bounds the prepared names that a connection gathers.
+// maxPrepared bounds the prepared statements that accumulate on a connection.
 const maxPrepared = 64
 
-// setupTimeout bounds the answers to a connection's setup, which take no slot.
+// setupTimeout bounds the wait for each answer to a connection's setup. Setup takes no slot at the
+// target.
 const setupTimeout = 500 * time.Millisecond
 
-// ErrSetup says that a connection could not be given a session's state.
+// ErrSetup reports that a session's state could not be set on a connection.
 var ErrSetup = errors.New("the connection did not take the session's state")
 
 // Prepared is a session's prepared statement.
@@ -62,21 +63,20 @@
 	Writes bool
 }
 
-// Setup gives the connection the session values, and the prepared statement if
-// one is to be executed, whose name on this connection is returned. Begin, if
-// not nil, opens a transaction in the same exchange.
+// Setup sets the session values on the connection and prepares the statement, if one is to be
+// executed; it returns the statement's name on this connection. If begin is not nil, it opens a
+// transaction in the same exchange.
 //
-// Failure guarded against: a statement that runs under another session's
-// values, or outside its transaction. It shows as a balance read for the wrong
-// passenger. Every answer of the setup is awaited before the consumer's
-// statement is sent: were both sent together, an answer lost on the way would
-// be taken for the next one's.
+// Failure guarded against: a statement runs under another session's values or outside its
+// transaction, and a balance is read for the wrong passenger. All answers to the setup are
+// received before the consumer's statement is sent: if both were sent together and an answer were
+// lost, the next answer would be taken for it.
 func (c *Conn) Setup(values map[string]string, p *Prepared, begin *Begin) (name string, opened *statement.Answer, err error) {
 	queued := c.queueValues(values)
 	if p != nil {
-		var fresh bool
-		name, fresh = c.nameOf(p)
-		if fresh {
+		var isNew bool
+		name, isNew = c.preparedName(p)
+		if isNew {
 			c.QueuePrepare(name, p.Shape, p.Writes)
 			queued++
 		}
@@ -106,18 +106,18 @@
 	return name, nil, nil
 }
 
-// Begin says how to open a transaction.
+// Begin holds the options of a new transaction.
 type Begin struct {
 	ReadOnly bool
-	// After is the position that the target's log must hold.
+	// After is the position that the target's log must have reached.
 	After timeline.Position
 }
 
-// queueValues queues what makes the connection's values those of the session,
-// and returns how many answers that takes.
+// queueValues queues the commands that make the connection's values equal to the session's, and
+// returns the number of answers to expect.
 func (c *Conn) queueValues(values map[string]string) int {
 	queued := 0
-	if c.hasOther(values) {
+	if c.needsReset(values) {
 		c.QueueReset()
 		c.values, c.prepared = nil, nil
 		queued++
@@ -136,9 +136,9 @@
 	return queued
 }
 
-// hasOther reports whether the connection holds a value that the session did
-// not set, which only a reset takes away.
-func (c *Conn) hasOther(values map[string]string) bool {
+// needsReset reports whether the connection must be reset: it has a value that the session did not
+// set, or too many prepared statements.
+func (c *Conn) needsReset(values map[string]string) bool {
 	for name := range c.values {
 		if _, ok := values[name]; !ok {
 			return true
@@ -147,9 +147,9 @@
 	return len(c.prepared) > maxPrepared
 }
 
-// nameOf returns the name under which the statement is prepared here, and
-// whether it has yet to be.
-func (c *Conn) nameOf(p *Prepared) (name string, fresh bool) {
+// preparedName returns the statement's name on this connection. isNew is set if the statement
+// still has to be prepared under it.
+func (c *Conn) preparedName(p *Prepared) (name string, isNew bool) {
 	key := shape{text: p.Shape, writes: p.Writes}
 	if name, ok := c.prepared[key]; ok {
 		return name, false
@@ -163,18 +163,18 @@
 	return name, true
 }
 
-// Rest notes that the connection runs nothing for the time being, because its
-// transaction waits for its consumer.
-func (c *Conn) Rest() { c.lane.rest(c) }
+// Park gives back the connection's slot while its transaction waits for the consumer's next
+// statement.
+func (c *Conn) Rest() { c.lane.park(c) }
 
-// Resume waits until a connection that rests may run a statement again. The
-// error is an *UnavailableError: nothing was sent.
+// Unpark waits until a parked connection may run a statement again. The error is an
+// *UnavailableError: nothing was sent.
 func (c *Conn) Resume(ctx context.Context, o Order, timeout time.Duration) error {
-	return c.lane.resume(ctx, c, o, timeout)
+	return c.lane.unpark(ctx, c, o, timeout)
 }
 
-// Release gives the connection back. A connection that is not idle, or whose
-// state is in doubt, must be discarded instead.
+// Release returns the connection to its lane. A connection that is not idle, or whose state is in
+// doubt, must be discarded instead.
 func (c *Conn) Release() { c.lane.release(c) }
 
 // Discard closes the connection.
--- a/lane/control.go
+++ b/lane/control.go
@@ -9,13 +9,13 @@
 	"endivemoor.example/endivemoor/statement"
 )
 
-// control returns a connection for the fleet's own questions and orders: an
-// idle one, or a new one beyond the allowance. It never waits behind requests: if
-// the target takes no further connection, it gets the next that becomes free.
+// control returns a connection for a control command: an idle one, or a new one beyond the
+// allowance. Commands never wait behind requests: if the target refuses another connection, the
+// command gets the next one that becomes free.
 //
-// Failure guarded against: the callers of a target have all its connections, and
-// the orders that a change of primary needs are refused with them, so that the
-// service stays without a primary for as long as they try again.
+// Failure guarded against: requests hold all connections of a target, the target refuses the
+// commands that a change of primary needs, and the service has no primary for as long as callers
+// retry.
 func (l *Lane) control(ctx context.Context, timeout time.Duration) (*Conn, error) {
 	c, err := l.controlNow(ctx)
 	var u *UnavailableError
@@ -28,19 +28,19 @@
 		return nil, err
 	}
 	w := &waiter{ready: make(chan delivery, 1)}
-	l.urgent.push(w)
+	l.controlQueue.push(w)
 	l.mu.Unlock()
-	if c, late := l.await(ctx, w, timeout); late == nil {
+	if c, waitErr := l.await(ctx, w, timeout); waitErr == nil {
 		return c, nil
 	}
 	return nil, err
 }
 
-// controlNow returns an idle connection or a new one.
+// controlNow returns an idle connection or a new one, without waiting for one in use.
 func (l *Lane) controlNow(ctx context.Context) (*Conn, error) {
 	l.mu.Lock()
 	closed := l.closed
-	l.used = l.clk.Now()
+	l.lastUsed = l.clk.Now()
 	c := l.takeIdleIf(func(*Conn) bool { return true })
 	l.mu.Unlock()
 	if closed {
@@ -57,6 +57,6 @@
 	}
 	l.inUse++
 	c = l.opened(link, "")
-	c.asked = true
+	c.forControl = true
 	return c, nil
 }
--- a/lane/dial.go
+++ b/lane/dial.go
@@ -11,63 +11,64 @@
 	"endivemoor.example/endivemoor/statement"
 )
 
-// unreachable reports whether a request should not wait for a connection: the
-// target could not be reached, and its turn to be tried again has not come, or
-// another request is trying it.
+// unreachable reports whether a request should fail instead of waiting for a connection: the last
+// dial failed, and either the pause before the next one has not ended or another request's dial is
+// in progress.
 //
-// Failure guarded against: a target behind a partition, where connecting hangs
-// until its time-out. Every request that came meanwhile would wait for it, again
-// and again, though a read can go elsewhere at once.
+// Failure guarded against: a target is behind a partition, where connecting hangs until its
+// time-out. Every request that arrived in the meantime would wait for it, time after time, though
+// a read could go elsewhere at once.
 func (l *Lane) unreachable(now clock.Time) bool {
-	return l.open == 0 && l.downCause != nil && (l.dialing > 0 || now.Before(l.down))
+	return l.open == 0 && l.downCause != nil && (l.dialing > 0 || now.Before(l.downUntil))
 }
 
-// hangs reports whether the first connection takes longer than usual.
-func (l *Lane) hangs(now clock.Time) bool {
-	return l.open == 0 && l.dialing > 0 && now.Sub(l.dialSince) > usualDial
+// dialHangs reports whether the lane has no connection and the dial in progress takes longer than
+// usual.
+func (l *Lane) dialHangs(now clock.Time) bool {
+	return l.open == 0 && l.dialing > 0 && now.Sub(l.dialSince) > usualDialTime
 }
 
-// grow opens connections for the requests that wait, the most urgent first. Where the
-// lane has as many as it may have, one that serves another workspace makes room.
+// grow opens connections for the waiting requests, most urgent first. If the lane is at its
+// limit, an idle connection of another workspace is closed to make room.
 func (l *Lane) grow(now clock.Time) {
 	if !l.mayGrow(now) {
 		return
 	}
-	waiting := l.waiting.counts()
-	l.growFor(now, func(w *waiter) bool { return l.dialsFor[w.order.Workspace] < waiting[w.order.Workspace] })
+	waiting := l.waiting.countByWorkspace()
+	l.growFor(now, func(w *waiter) bool { return l.dialsFor[w.opts.Workspace] < waiting[w.opts.Workspace] })
 }
 
-// growFor opens connections for the requests that lack one.
+// growFor opens connections for the waiting requests for which lacks returns true.
 func (l *Lane) growFor(now clock.Time, lacks func(w *waiter) bool) {
 	if !l.mayGrow(now) {
 		return
 	}
 	for l.dialing < maxDialing {
 		w := l.waiting.first(lacks)
-		if w == nil || !l.makeRoom(now, w.order.Workspace) {
+		if w == nil || !l.makeRoom(now, w.opts.Workspace) {
 			return
 		}
 		if l.dialing == 0 {
 			l.dialSince = now
 		}
 		l.dialing++
-		l.dialsFor[w.order.Workspace]++
-		go l.openOne(w.order.Workspace)
+		l.dialsFor[w.opts.Workspace]++
+		go l.openOne(w.opts.Workspace)
 	}
 }
 
-// mayGrow reports whether a connection could be opened if a request lacks one.
+// mayGrow reports whether a connection could be opened for a request that lacks one.
 func (l *Lane) mayGrow(now clock.Time) bool {
 	if l.closed || !l.mayRun() || l.waiting.Len() == 0 || l.dialing >= maxDialing {
 		return false
 	}
-	return l.open+l.dialing < l.most(now) || len(l.idle) > 0
+	return l.open+l.dialing < l.maxOpen(now) || len(l.idle) > 0
 }
 
-// makeRoom reports whether a connection may be opened for a workspace. It closes the
-// one that has been idle for longest of those of others, if there are too many else.
+// makeRoom reports whether a connection may be opened for a workspace. If the lane is at its
+// limit, it closes the connection of another workspace that has been idle for longest.
 func (l *Lane) makeRoom(now clock.Time, workspace string) bool {
-	if l.open+l.dialing < l.most(now) {
+	if l.open+l.dialing < l.maxOpen(now) {
 		return true
 	}
 	for i, c := range l.idle {
@@ -80,13 +81,13 @@
 	return false
 }
 
-// most is how many connections the lane may have now.
-func (l *Lane) most(now clock.Time) int {
-	if now.Before(l.refused) {
+// maxOpen returns the number of connections that the lane may have at this time.
+func (l *Lane) maxOpen(now clock.Time) int {
+	if now.Before(l.refusedUntil) {
 		return l.open
 	}
-	if l.running > 0 {
-		return l.allowance + min(l.resting+l.overdue, burst)
+	if l.maxRunning > 0 {
+		return l.allowance + min(l.parked+l.overdue, burst)
 	}
 	return l.allowance + burst
 }
@@ -104,30 +105,30 @@
 		l.dialFailed(now, workspace, err)
 		return
 	}
-	l.down, l.downCause = 0, nil
+	l.downUntil, l.downCause = 0, nil
 	l.inUse++
-	l.hand(l.opened(link, workspace))
+	l.putIdle(l.opened(link, workspace))
 }
 
-// dialFailed lets the requests that wait go elsewhere, if no connection is
-// left that may become free for them.
+// dialFailed fails the waiting requests, so that they can go elsewhere, if no connection is left
+// that may become free for them.
 func (l *Lane) dialFailed(now clock.Time, workspace string, err error) {
 	unavailable := l.unavailable(err)
 	if unavailable.Code != statement.OK {
-		l.refused = now.Add(l.refusalPause())
+		l.refusedUntil = now.Add(l.refusalPause())
 	} else {
-		l.down, l.downCause = now.Add(unreachablePause), err
+		l.downUntil, l.downCause = now.Add(unreachablePause), err
 	}
 	if l.open == 0 && l.dialing == 0 {
 		l.refuse(now, unavailable, anyone)
 		return
 	}
 	if unavailable.Code == statement.OK && l.openFor[workspace] == 0 && l.dialsFor[workspace] == 0 {
-		l.refuse(now, unavailable, func(w *waiter) bool { return w.order.Workspace == workspace })
+		l.refuse(now, unavailable, func(w *waiter) bool { return w.opts.Workspace == workspace })
 	}
 }
 
-// unavailable turns a dialer's error into that of those who wait.
+// unavailable converts a dialer's error into the error that waiting requests get.
 func (l *Lane) unavailable(err error) *UnavailableError {
 	out := &UnavailableError{Target: l.id, Cause: err}
 	var refusal Refusal
@@ -139,7 +140,7 @@
 
 func (l *Lane) refusalPause() time.Duration {
 	if l.open == 0 {
-		return refusedAlone
+		return refusedPauseWithoutConns
 	}
 	return refusedPause
 }
--- a/lane/doc.go
+++ b/lane/doc.go
@@ -1,14 +1,15 @@
-// Package lane holds the connections to targets. They are the scarcest thing
-// there is: a target takes a few dozen from all callers together, and each VM
-// gets its part of them.
+// Package lane pools the connections of this VM to targets. Connections are the scarcest
+// resource: a target accepts a few dozen from all VMs together, and each VM gets its share.
 //
-// A Lane leads to one target. Whoever needs a connection asks for it with the
-// time by which the answer should be there; a free one is handed over at once,
-// otherwise the request waits in the order of Order. A lane opens connections
-// up to its allowance, and beyond it for a short time while requests wait and
-// the target does not refuse.
+// Start with Pool, which holds one Lane per target that this VM uses. A caller acquires a
+// connection with Pool.Acquire and passes the time by which the answer is due. It gets an idle
+// connection at once if there is one; otherwise the request waits in a queue that is ordered by
+// AcquireOptions. A lane opens connections up to its allowance, and beyond it for a short time
+// while requests wait and the target does not refuse.
 //
-// A connection is owned by one transaction or one statement at a time. It
-// carries the session values and prepared names that it was given, so that the
-// next owner is given a clean one or one that fits.
+// A connection is owned by one transaction or one statement at a time. It records the session
+// values and prepared statements that were set on it, so that Conn.Setup can reset it or reuse
+// them for the next owner.
+//
+// The package does not choose targets (see placing) and does not encode messages (see Link).
 package lane
--- a/lane/drain.go
+++ b/lane/drain.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	// drainWeight is that of a new interval in the moving average: about the last
-	// sixteen count, a quarter of a second at full load.
+	// drainWeight is the weight of a new interval in the moving average, which thus covers about
+	// the last sixteen: a quarter of a second at full load.
 	drainWeight = 1.0 / 16
-	// drainSamples is how many intervals must have been seen before requests are
-	// refused by their average.
+	// drainSamples is the number of intervals to measure before requests are refused by their
+	// average.
 	drainSamples = 16
-	// drainForget is the gap after which the average is begun anew.
-	drainForget = time.Second
+	// maxDrainInterval is the length from which an interval is left out of the average.
+	maxDrainInterval = time.Second
 )
 
-// drain measures how fast a queue is worked off: the interval between two
-// requests that got a connection while others waited.
+// drain measures how fast a queue drains: the average interval between two requests that get a
+// connection while others wait.
 type drain struct {
-	last    clock.Time
-	every   time.Duration
-	samples int
+	last     clock.Time
+	interval time.Duration
+	samples  int
 }
 
-// served records that a request got a connection; more is set if others wait.
-func (d *drain) served(now clock.Time, more bool) {
+// recordServed records that a request got a connection. More is set if others still wait.
+func (d *drain) recordServed(now clock.Time, more bool) {
 	gap := now.Sub(d.last)
-	if d.last != 0 && gap < drainForget {
-		d.every += time.Duration(drainWeight * float64(gap-d.every))
+	if d.last != 0 && gap < maxDrainInterval {
+		d.interval += time.Duration(drainWeight * float64(gap-d.interval))
 		d.samples++
 	}
 	d.last = 0
@@ -38,20 +38,18 @@
 	}
 }
 
-// takesWeight is that of a new duration in the moving average of how long
-// statements take.
-const takesWeight = 1.0 / 16
+// statementTimeWeight is the weight of a new duration in the moving average of statement times.
+const statementTimeWeight = 1.0 / 16
 
-// took records how long a statement had its connection.
-func (q *queue) took(d time.Duration) {
-	q.takes += time.Duration(takesWeight * float64(d-q.takes))
+// recordStatementTime records how long a statement held its connection.
+func (q *queue) recordStatementTime(d time.Duration) {
+	q.statementTime += time.Duration(statementTimeWeight * float64(d-q.statementTime))
 }
 
-// after is how long it takes until so many requests are served; 0 if that is not
-// known.
+// after returns the estimated time until the given number of requests is served; 0 if not known.
 func (d *drain) after(requests int) time.Duration {
 	if d.samples < drainSamples {
 		return 0
 	}
-	return time.Duration(requests) * d.every
+	return time.Duration(requests) * d.interval
 }
--- a/lane/lane.go
+++ b/lane/lane.go
@@ -16,47 +16,45 @@
 )
 
 const (
-	// burst is how many connections a lane may have beyond its allowance while
-	// requests wait, if it has some that a transaction holds and runs nothing on. The
-	// target's refusal is the limit that counts.
+	// burst is the number of connections that a lane may have beyond its allowance while requests
+	// wait. Where the number of running statements is bounded, the lane must also have parked or
+	// overdue connections. The target's refusal is the limit that counts.
 	burst = 1
-	// burstIdle is how long a connection beyond those that stay open may lie idle:
-	// closed much sooner it is soon opened again.
-	burstIdle = 500 * time.Millisecond
-	// yieldIdle is how long any connection may lie idle where there is less than
-	// one for each VM. One that a VM keeps is missed by another, whose requests
-	// are refused, and opening one takes some milliseconds only.
-	yieldIdle = 100 * time.Millisecond
-	// refusedPause is how long a lane opens nothing once the target has refused
-	// a connection for their number, and refusedAlone how long if it has none
-	// at all. Without the pause each request that waits would be refused again,
-	// and each try takes one of the target's slots.
-	refusedPause = time.Second
-	refusedAlone = 40 * time.Millisecond
-	// unreachablePause is the pause between two tries to reach a target that could
-	// not be reached. Until one succeeds requests fail at once, so that reads go
-	// elsewhere without waiting for the same failure.
+	// burstIdleTimeout is how long a connection beyond the retained ones may be idle. With a much
+	// shorter time-out it would soon have to be opened again.
+	burstIdleTimeout = 500 * time.Millisecond
+	// lentIdleTimeout is how long any connection may be idle where the target accepts fewer than
+	// one per VM. While one VM retains a connection, another lacks it and its requests are refused,
+	// and opening one takes a few milliseconds only.
+	lentIdleTimeout = 100 * time.Millisecond
+	// refusedPause is how long a lane opens no connection after the target has refused one because
+	// it has too many, and refusedPauseWithoutConns how long if the lane has none at all. Without
+	// the pause every waiting request would be refused again, and each try takes one of the
+	// target's slots.
+	refusedPause             = time.Second
+	refusedPauseWithoutConns = 40 * time.Millisecond
+	// unreachablePause is the pause between two dials of an unreachable target. Until one succeeds,
+	// requests fail at once, so that reads go elsewhere without waiting for the same failure.
 	unreachablePause = 250 * time.Millisecond
-	// usualDial is how long connecting takes at most if the target can be reached
-	// and has a slot soon.
-	usualDial = 100 * time.Millisecond
-	// calmBacklog is the wait behind all that wait in time below which a target is
-	// overloaded no more: less than the shortest of the objectives.
-	calmBacklog = 100 * time.Millisecond
-	// maxDialing bounds the connections being opened: each takes a slot.
+	// usualDialTime is the longest time that connecting takes if the target is reachable and a slot
+	// becomes free soon.
+	usualDialTime = 100 * time.Millisecond
+	// overloadEndBacklog is the wait behind all requests that can still meet their objective below
+	// which a target is no longer overloaded: less than the shortest objective.
+	overloadEndBacklog = 100 * time.Millisecond
+	// maxDialing bounds the concurrent dials: each takes a slot.
 	maxDialing = 2
 )
 
-// UnavailableError says that a target gave no connection. The request was not
-// sent.
+// UnavailableError reports that no connection to a target was available. The request was not sent.
 type UnavailableError struct {
 	Target target.ID
 	// Code is set if the target itself refused.
 	Code statement.Code
-	// Expired is set if the request's time ended in the queue.
+	// Expired is set if the request timed out in the queue.
 	Expired bool
-	// ComeBack is set if the request was refused at once, as it could not have
-	// been served in its time: when there will be room for it.
+	// RetryAfter is set if the request was refused without waiting because it could not have been
+	// served in time: the time until the target is expected to have room for it.
 	ComeBack time.Duration
 	// Cause may be nil.
 	Cause error
@@ -74,76 +72,78 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// Dialer opens a link to a target for a workspace's requests. A refusal by the target
-// is reported by Refusal.
+// Dialer opens a link to a target for a workspace's requests. If the target refuses, the error
+// implements Refusal.
 type Dialer func(ctx context.Context, workspace string) (Link, error)
 
-// Refusal is implemented by a dialer's error if the target itself refused.
+// Refusal is implemented by a dialer's error if the target itself refused the connection.
 type Refusal interface {
 	error
 	// Refused returns the target's reason.
 	Refused() statement.Code
 }
 
-// Lane leads to one target. It is safe for concurrent use.
+// Lane holds the connections to one target and the requests that wait for one. It is safe for
+// concurrent use.
 type Lane struct {
-	id   target.ID
-	dial Dialer
-	clk  clock.Clock
-	made *catalog.Target // as it was when the lane was made
+	id     target.ID
+	dial   Dialer
+	clk    clock.Clock
+	target *catalog.Target // as of the lane's creation
 
-	mu        sync.Mutex
-	allowance int
-	keepsIdle int  // how many stay open while nothing runs on them
-	lent      bool // connections are not kept
-	idle      []*Conn
-	open      int
-	openFor   map[string]int // by workspace
-	dialing   int
-	dialsFor  map[string]int // by workspace
-	waiting   queue
-	refused   clock.Time // until when nothing beyond is opened
-	down      clock.Time // until when it is not tried again
-	downCause error      // nil while it is not known to be unreachable
-	dialSince clock.Time // when the oldest connection under way was begun
-	closed    bool
-	used      clock.Time // when a connection was last asked for
-	inUse     int
-	busy      map[*Conn]struct{} // those that were handed to statements
-	resting   int                // of those in use, how many run nothing just now
-	overdue   int                // and how many run what takes far longer than usual
-	running   int                // how many may run something; 0 is any number
-	resuming  queue              // transactions that wait to run a statement
-	urgent    queue              // the fleet's own orders
-	drain     drain
+	mu           sync.Mutex
+	allowance    int
+	minOpen      int  // how many stay open while idle
+	lent         bool // idle connections are not retained
+	idle         []*Conn
+	open         int
+	openFor      map[string]int // by workspace
+	dialing      int
+	dialsFor     map[string]int // by workspace
+	waiting      queue
+	refusedUntil clock.Time // until when no further connection is opened
+	downUntil    clock.Time // until when the target is not dialed again
+	downCause    error      // nil unless the target is known to be unreachable
+	dialSince    clock.Time // start of the oldest dial in progress
+	closed       bool
+	lastUsed     clock.Time // when a connection was last requested
+	inUse        int
+	busy         map[*Conn]struct{} // connections acquired for statements
+	parked       int                // of those in use, how many are parked
+	overdue      int                // and how many run an overdue statement
+	maxRunning   int                // how many statements may run at once; 0 is unlimited
+	unparking    queue              // transactions that wait to run their next statement
+	controlQueue queue              // control commands
+	drain        drain
 }
 
 func newLane(id target.ID, dial Dialer, clk clock.Clock, share gateways.Share) *Lane {
 	l := &Lane{
-		id: id, dial: dial, clk: clk, used: clk.Now(), busy: make(map[*Conn]struct{}),
+		id: id, dial: dial, clk: clk, lastUsed: clk.Now(), busy: make(map[*Conn]struct{}),
 		openFor: make(map[string]int), dialsFor: make(map[string]int),
 	}
 	l.setShare(share)
 	return l
 }
 
-// Load is a lane's state at one moment.
+// Load is a snapshot of a lane's state.
 type Load struct {
-	// InUse is how many connections are handed out.
+	// InUse is the number of connections in use.
 	InUse int
-	// Queued is how many requests wait.
+	// Queued is the number of waiting requests.
 	Queued int
-	// Late is how many of them have missed their objective.
+	// Late is the number of waiting requests that have missed their objective.
 	Late int
-	// Resting is how many of those in use wait for their consumer.
+	// Parked is the number of connections in use whose transaction waits for its consumer.
 	Resting int
-	// Open is how many connections there are.
+	// Open is the number of open connections.
 	Open int
-	// Every is the interval at which waiting requests are served; 0 if not known.
+	// ServeInterval is the average interval at which waiting requests are served; 0 if not known.
 	Every time.Duration
-	// Allowance is how many connections the lane may keep.
+	// Allowance is the number of connections that the lane may retain.
 	Allowance int
-	// Down is set while the target could not be reached just now.
+	// Down is set while the lane has no connection because the target is unreachable or the dial
+	// hangs.
 	Down bool
 }
 
@@ -152,15 +152,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return Load{
-		InUse: l.inUse, Queued: l.waiting.Len(), Late: l.waiting.late.Len(), Resting: l.resting,
-		Open: l.open, Every: l.drain.after(1), Allowance: l.allowance, Down: l.downCause != nil && l.open == 0 || l.hangs(l.clk.Now()),
+		InUse: l.inUse, Queued: l.waiting.Len(), Late: l.waiting.late.Len(), Resting: l.parked,
+		Open: l.open, Every: l.drain.after(1), Allowance: l.allowance, Down: l.downCause != nil && l.open == 0 || l.dialHangs(l.clk.Now()),
 	}
 }
 
-// errClosed says that a lane was taken out of its Pool.
+// errClosed reports that a lane was removed from its Pool.
 var errClosed = errors.New("the lane is closed")
 
-// Acquire returns a connection by the deadline. The error is an
+// Acquire returns a connection, waiting until the time-out at most. The error is an
 // *UnavailableError, or errClosed.
 func (l *Lane) Acquire(ctx context.Context, o Order, timeout time.Duration) (*Conn, error) {
 	l.mu.Lock()
@@ -169,7 +169,7 @@
 		l.mu.Unlock()
 		return nil, errClosed
 	}
-	l.used = now
+	l.lastUsed = now
 	if l.unreachable(now) {
 		err := &UnavailableError{Target: l.id, Cause: l.downCause}
 		l.mu.Unlock()
@@ -182,12 +182,12 @@
 			return c, nil
 		}
 	}
-	if l.hopeless(now, o) {
-		err := l.overloaded()
+	if l.wouldBeLate(now, o) {
+		err := l.overloadedError()
 		l.mu.Unlock()
 		return nil, err
 	}
-	w := &waiter{order: o, ready: make(chan delivery, 1)}
+	w := &waiter{opts: o, ready: make(chan delivery, 1)}
 	l.waiting.push(w)
 	l.serve(now)
 	l.grow(now)
@@ -214,8 +214,8 @@
 	return d.conn, d.err
 }
 
-// takeIdle hands out the most recently used idle connection of a workspace that is
-// alive.
+// takeIdle takes the workspace's most recently used idle connection that is alive; nil if there is
+// none.
 func (l *Lane) takeIdle(workspace string) *Conn {
 	return l.takeIdleIf(func(c *Conn) bool { return c.workspace == workspace })
 }
@@ -229,7 +229,7 @@
 		l.idle = slices.Delete(l.idle, i, i+1)
 		if c.Alive() {
 			l.inUse++
-			c.handed = 0
+			c.acquiredAt = 0
 			return c
 		}
 		l.shut(c)
@@ -237,7 +237,7 @@
 	return nil
 }
 
-// opened counts a new connection.
+// opened wraps a new link and counts it.
 func (l *Lane) opened(link Link, workspace string) *Conn {
 	l.open++
 	l.openFor[workspace]++
@@ -253,16 +253,16 @@
 	c.Close()
 }
 
-// refuse tells those that wait, and fit, why they get no connection.
+// refuse fails the waiting requests for which fits returns true with err.
 func (l *Lane) refuse(now clock.Time, err error, fits func(*waiter) bool) {
 	for w := l.waiting.next(now, fits); w != nil; w = l.waiting.next(now, fits) {
 		w.ready <- delivery{err: err}
 	}
 }
 
-// tend closes idle connections beyond those that stay, oldest first, and opens
-// those that wait for the end of a pause.
-func (l *Lane) tend() {
+// maintain closes idle connections beyond the retained ones, oldest first, and opens those whose
+// dial was delayed by a pause.
+func (l *Lane) maintain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clk.Now()
@@ -271,38 +271,37 @@
 		l.idle = l.idle[1:]
 		l.shut(c)
 	}
-	l.noteOverdue(now)
+	l.markOverdue(now)
 	l.grow(now)
 }
 
-// mayClose reports whether a connection that has been idle for a time should
-// be given back.
+// mayClose reports whether a connection that has been idle for the given time should be closed.
 func (l *Lane) mayClose(idle time.Duration) bool {
 	if l.lent {
-		return idle > yieldIdle
+		return idle > lentIdleTimeout
 	}
-	return l.open > l.keepsIdle && idle > burstIdle
+	return l.open > l.minOpen && idle > burstIdleTimeout
 }
 
-// setShare changes how many connections the lane may keep. Without a share it
-// has one now and then, beyond it.
+// setShare sets this VM's share of the target's connections. A lane with an empty share opens
+// connections beyond it while requests wait.
 func (l *Lane) setShare(s gateways.Share) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.allowance, l.keepsIdle, l.lent, l.running = s.Kept, s.Idle, s.Lent, s.Running
-	l.waiting.judges = s.Running > 0
+	l.allowance, l.minOpen, l.lent, l.maxRunning = s.Kept, s.Idle, s.Lent, s.Running
+	l.waiting.detectsLate = s.Running > 0
 }
 
-// unused reports whether the lane has no connection and was not asked for one for
-// long. Nothing is under way then: whoever waits has asked far more lately.
+// unused reports whether the lane has no connection and none was requested for unusedAfter. No
+// request waits then: requests time out much sooner.
 func (l *Lane) unused() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.open == 0 && l.clk.Now().Sub(l.used) > unusedAfter
+	return l.open == 0 && l.clk.Now().Sub(l.lastUsed) > unusedAfter
 }
 
-// close ends the lane: its target is gone, or it is unused. Those in use are closed as they
-// come back; those that wait are told.
+// close closes the lane, because its target was removed or it is unused. Connections in use are
+// closed when they are released; waiting requests fail.
 func (l *Lane) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lane/lane_test.go
+++ b/lane/lane_test.go
@@ -22,18 +22,18 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// link is a target's connection that answers everything with success and notes
-// what it was told.
+// link is a connection to a target that answers every command with success and records it, unless
+// the command is the refused one.
 type link struct {
-	queued  int
-	told    []string
-	lose    bool
-	closed  atomic.Bool // lanes of several VMs share a dialer
-	refuse  statement.Code
-	refused string
+	queued      int
+	received    []string
+	lose        bool
+	closed      atomic.Bool // lanes of several VMs share a dialer
+	refusalCode statement.Code
+	refused     string
 }
 
-func (l *link) add(text string) { l.queued++; l.told = append(l.told, text) }
+func (l *link) add(text string) { l.queued++; l.received = append(l.received, text) }
 
 func (l *link) Queue(s *statement.Statement, _ timeline.Position) { l.add(s.Text) }
 func (l *link) QueueExecute(s *statement.Statement, _ timeline.Position, n string) {
@@ -57,11 +57,11 @@
 		time.Sleep(timeout)
 		return nil, errors.New("no answer")
 	}
-	last := l.told[len(l.told)-l.queued]
+	last := l.received[len(l.received)-l.queued]
 	l.queued--
 	a := &statement.Answer{}
 	if last == l.refused {
-		a.Code = l.refuse
+		a.Code = l.refusalCode
 	}
 	return a, nil
 }
@@ -70,7 +70,7 @@
 
 func (refusal) Refused() statement.Code { return statement.TooManyConnections }
 
-// dialer opens links up to a limit, and notes them.
+// dialer opens links up to a limit and records them.
 type dialer struct {
 	mu    sync.Mutex
 	limit int
@@ -80,7 +80,7 @@
 	hangs time.Duration
 }
 
-// hang makes connecting time out after so long; zero ends that.
+// hang makes connecting time out after the given time; zero makes it succeed again.
 func (d *dialer) hang(timeout time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,7 +93,7 @@
 	d.dials++
 }
 
-// links returns the links opened so far, and how often one was asked for.
+// links returns the links opened so far and the number of dials.
 func (d *dialer) links() ([]*link, int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -153,32 +153,32 @@
 		require.Len(t, d.open, 1)
 		d.open[0].closed.Store(true)
 		acquire(t, l).Release()
-		require.Len(t, d.open, 2, "one that the target has closed is not handed out")
+		require.Len(t, d.open, 2, "a connection that the target has closed must not be reused")
 	})
 }
 
-// More requests than connections: those due first go first, whoever came
-// earlier, and one whose time ends leaves the queue.
+// With more requests than connections, the request due first is served first whatever the order of
+// arrival, and a request that times out leaves the queue.
 func TestRequestsWaitByWhenTheyAreDue(t *testing.T) {
 	inBubble(t, 1, 1, func(l *Lane, _ *dialer) {
 		held := acquire(t, l)
 		order := make(chan string, 3)
 		start := l.clk.Now()
-		ask := func(name string, due, patience time.Duration) {
-			c, err := l.Acquire(context.Background(), Order{Due: start.Add(due)}, patience)
+		request := func(name string, due, timeout time.Duration) {
+			c, err := l.Acquire(context.Background(), Order{Due: start.Add(due)}, timeout)
 			if err != nil {
-				order <- name + " gave up"
+				order <- name + " timed out"
 				return
 			}
 			order <- name
 			c.Release()
 		}
-		go ask("late", 9*time.Second, time.Minute)
+		go request("late", 9*time.Second, time.Minute)
 		synctest.Wait()
-		go ask("soon", 8*time.Second, time.Minute)
-		go ask("brief", 7*time.Second, time.Second)
+		go request("soon", 8*time.Second, time.Minute)
+		go request("brief", 7*time.Second, time.Second)
 		time.Sleep(2 * time.Second)
-		require.Equal(t, "brief gave up", <-order)
+		require.Equal(t, "brief timed out", <-order)
 		held.Release()
 		require.Equal(t, "soon", <-order)
 		require.Equal(t, "late", <-order)
@@ -186,8 +186,8 @@
 	})
 }
 
-// The target refuses further connections. Requests wait for those that there
-// are, and the target is not asked again for each of them.
+// The target refuses further connections. Requests wait for the open ones, and the target is not
+// dialed again for each request.
 func TestRefusedConnectionsAreNotTriedAgainAndAgain(t *testing.T) {
 	inBubble(t, 1, 5, func(l *Lane, d *dialer) {
 		held := acquire(t, l)
@@ -210,8 +210,7 @@
 	})
 }
 
-// Nothing listens at the target. Requests that wait for it must hear so at
-// once, for a read can go elsewhere.
+// No process listens at the target. Requests must fail at once, since a read can go elsewhere.
 func TestUnreachableTargetFailsRequestsAtOnce(t *testing.T) {
 	inBubble(t, 1, 1, func(l *Lane, d *dialer) {
 		d.err = syscall.ECONNREFUSED
@@ -230,15 +229,15 @@
 	})
 }
 
-// A burst opens a connection beyond the VM's part; it is given back soon, or
-// other VMs would be refused.
+// A burst opens a connection beyond the VM's share. It must be closed soon, or other VMs would be
+// refused.
 func TestBorrowedConnectionIsGivenBack(t *testing.T) {
 	inBubble(t, 9, 1, func(l *Lane, d *dialer) {
 		first, second := acquire(t, l), acquire(t, l)
 		first.Release()
 		second.Release()
-		time.Sleep(2 * burstIdle)
-		l.tend()
+		time.Sleep(2 * burstIdleTimeout)
+		l.maintain()
 		open := 0
 		for _, x := range d.open {
 			if !x.closed.Load() {
@@ -249,28 +248,28 @@
 	})
 }
 
-// There is less than one connection for each VM. One that this VM keeps for its
-// next request is missed by another VM, whose requests are refused meanwhile.
+// The target accepts fewer than one connection per VM. Failure guarded against: this VM retains one
+// for its next request, and the requests of another VM are refused in the meantime.
 func TestScarceConnectionIsNotKept(t *testing.T) {
 	inBubble(t, 9, 0, func(l *Lane, d *dialer) {
 		acquire(t, l).Release()
 		acquire(t, l).Release()
 		links, _ := d.links()
 		require.Len(t, links, 1, "requests that follow each other share one")
-		time.Sleep(2 * yieldIdle)
-		l.tend()
+		time.Sleep(2 * lentIdleTimeout)
+		l.maintain()
 		require.True(t, links[0].closed.Load())
 		l.setShare(gateways.Share{Kept: 1, Idle: 1})
 		acquire(t, l).Release()
 		time.Sleep(time.Minute)
-		l.tend()
+		l.maintain()
 		links, _ = d.links()
 		require.False(t, links[1].closed.Load())
 	})
 }
 
-// Two sessions use one connection in turn. Values of the first must not show in
-// the second, and a statement that both prepare is prepared once.
+// Two sessions use one connection in turn. Values of the first must not be visible to the second,
+// and a statement that both prepare is prepared once.
 func TestSetupFitsTheConnectionToTheSession(t *testing.T) {
 	inBubble(t, 1, 1, func(l *Lane, d *dialer) {
 		stmt := &Prepared{Shape: "q1"}
@@ -281,13 +280,13 @@
 		c = acquire(t, l)
 		_, _, err = c.Setup(map[string]string{"lang": "ga"}, stmt, nil)
 		require.NoError(t, err)
-		require.Equal(t, []string{"set lang=ga", "prepare " + first + " q1"}, d.open[0].told)
+		require.Equal(t, []string{"set lang=ga", "prepare " + first + " q1"}, d.open[0].received)
 		_, _, err = c.Setup(nil, nil, nil)
 		require.NoError(t, err)
-		require.Equal(t, "reset", d.open[0].told[2])
+		require.Equal(t, "reset", d.open[0].received[2])
 		again, _, err := c.Setup(nil, stmt, nil)
 		require.NoError(t, err)
-		require.Equal(t, "prepare "+again+" q1", d.open[0].told[3], "a reset forgets prepared names")
+		require.Equal(t, "prepare "+again+" q1", d.open[0].received[3], "a reset clears prepared statements")
 		c.Release()
 	})
 }
@@ -295,24 +294,24 @@
 func TestSetupThatIsRefusedIsAnError(t *testing.T) {
 	inBubble(t, 1, 1, func(l *Lane, d *dialer) {
 		c := acquire(t, l)
-		d.open[0].refused, d.open[0].refuse = "set a=1", statement.Failed
+		d.open[0].refused, d.open[0].refusalCode = "set a=1", statement.Failed
 		_, _, err := c.Setup(map[string]string{"a": "1"}, nil, &Begin{})
 		require.ErrorIs(t, err, ErrSetup)
 		c.Discard()
 	})
 }
 
-// one keeps a connection to every target.
-func one(*catalog.Target) gateways.Share { return gateways.Share{Kept: 1, Idle: 1} }
+// oneEach is a share of one connection to every target.
+func oneEach(*catalog.Target) gateways.Share { return gateways.Share{Kept: 1, Idle: 1} }
 
-// A target leaves the catalog and its connections must go, also those in use
-// when they come back; who waits is told.
+// A target is removed from the catalog. Its connections must be closed, those in use as soon as
+// they are released, and waiting requests must fail.
 func TestLaneOfALostTargetIsClosed(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := &dialer{limit: 1}
 		p := NewPool(monotonic.New(), func(*catalog.Target) Dialer { return d.dial })
 		with := &catalog.Catalog{Targets: map[target.ID]*catalog.Target{"x": {ID: "x"}}}
-		p.Update(with, one)
+		p.Update(with, oneEach)
 		c, err := p.Acquire(context.Background(), "x", Order{}, time.Second)
 		require.NoError(t, err)
 		failed := make(chan error, 1)
@@ -321,7 +320,7 @@
 			failed <- err
 		}()
 		time.Sleep(200 * time.Millisecond)
-		p.Update(&catalog.Catalog{}, one)
+		p.Update(&catalog.Catalog{}, oneEach)
 		require.Error(t, <-failed)
 		c.Release()
 		require.True(t, d.open[0].closed.Load())
@@ -330,8 +329,8 @@
 	})
 }
 
-// A target starts again under its id, or moves. Its connections lead to a process that
-// is gone, without a word if its VM lost power: requests must not be sent on them.
+// A target restarts under its id, or moves to another address. Its connections lead to a process
+// that has ended, and are not reset if its VM lost power: no request must be sent on them.
 func TestLaneOfATargetThatStartedAgainIsMadeAnew(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := &dialer{limit: 1}
@@ -340,16 +339,16 @@
 			return &catalog.Catalog{Targets: map[target.ID]*catalog.Target{"x": &made}}
 		}
 		was := catalog.Target{ID: "x", Addr: "10.0.0.1:1", Incarnation: 1}
-		p.Update(as(was), one)
+		p.Update(as(was), oneEach)
 		c, err := p.Acquire(context.Background(), "x", Order{}, time.Second)
 		require.NoError(t, err)
 		c.Release()
-		leaves := was
-		leaves.Draining, leaves.Role = true, target.RoleReplica
-		p.Update(as(leaves), one)
+		draining := was
+		draining.Draining, draining.Role = true, target.RoleReplica
+		p.Update(as(draining), oneEach)
 		require.False(t, d.open[0].closed.Load(), "it is the same process")
 		for i, next := range []catalog.Target{{ID: "x", Addr: was.Addr, Incarnation: 2}, {ID: "x", Addr: "10.0.0.2:1", Incarnation: 2}} {
-			p.Update(as(next), one)
+			p.Update(as(next), oneEach)
 			require.True(t, d.open[i].closed.Load())
 			c, err := p.Acquire(context.Background(), "x", Order{}, time.Second)
 			require.NoError(t, err)
@@ -359,13 +358,13 @@
 	})
 }
 
-// The fleet's own question meets a full lane. It must not wait behind requests:
-// a primary that seems dead is judged by its answer.
+// A control command must not wait behind requests at a saturated lane: its answer decides whether
+// an unresponsive primary is considered dead.
 func TestControlDoesNotWaitBehindRequests(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := &dialer{limit: 3}
 		p := NewPool(monotonic.New(), func(*catalog.Target) Dialer { return d.dial })
-		p.Update(&catalog.Catalog{Targets: map[target.ID]*catalog.Target{"x": {ID: "x"}}}, one)
+		p.Update(&catalog.Catalog{Targets: map[target.ID]*catalog.Target{"x": {ID: "x"}}}, oneEach)
 		var held []*Conn
 		for range 2 {
 			c, err := p.Acquire(context.Background(), "x", Order{}, time.Second)
@@ -379,7 +378,7 @@
 		third, err := p.Acquire(context.Background(), "x", Order{}, time.Second)
 		require.NoError(t, err)
 		_, err = p.Control(context.Background(), "x", AskStatus, time.Second)
-		require.True(t, Answered(err), "a refusal for the number of connections shows life")
+		require.True(t, Answered(err), "a refusal because of too many connections shows that the target is alive")
 		for _, c := range append(held, third) {
 			c.Release()
 		}
--- a/lane/overdue.go
+++ b/lane/overdue.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// overdueTimes what statements take lately is how long one must run to be
-	// overdue, and leastOverdue at least: longer than most work takes.
-	overdueTimes = 4
-	leastOverdue = 150 * time.Millisecond
+	// A statement is overdue once it has run for overdueFactor times the recent average statement
+	// time, and for minOverdue at least, which is longer than most statements take.
+	overdueFactor = 4
+	minOverdue    = 150 * time.Millisecond
 )
 
-// noteOverdue lets others run beside statements that take far longer than usual.
+// markOverdue marks statements that take far longer than usual, so that others may run beside
+// them.
 //
-// Failure guarded against: an answer is lost, or a write waits for a replica that does
-// not confirm it. Where one statement of a VM may run at once, all that follow it to
-// the target wait until its time is over. The target has done with it long before, or
-// has it in no slot.
-func (l *Lane) noteOverdue(now clock.Time) {
-	after := max(leastOverdue, overdueTimes*l.waiting.takes)
+// Failure guarded against: an answer is lost, or a write waits for a replica that does not confirm
+// it. Where a VM may run one statement at a time, all later statements for the target would wait
+// until this one times out, although the target finished it long before or holds no slot for it.
+func (l *Lane) markOverdue(now clock.Time) {
+	after := max(minOverdue, overdueFactor*l.waiting.statementTime)
 	for c := range l.busy {
-		if !c.resting && now.Sub(c.runs) > after {
+		if !c.parked && now.Sub(c.runningSince) > after {
 			l.setOverdue(c, true)
 		}
 	}
--- a/lane/overdue_test.go
+++ b/lane/overdue_test.go
@@ -12,23 +12,23 @@
 	"endivemoor.example/endivemoor/internal/bubble"
 )
 
-// One statement of a VM may run at a target at once, and the answer to one is lost.
-// Those that follow it must not wait until its time is over; and as soon as it is
-// given up on, one runs at once again.
-func TestOverdueStatementHoldsNobodyUp(t *testing.T) {
+// One statement of a VM may run at a target at a time, and the answer to one is lost. The next
+// statements must not wait until it times out. Once its connection is discarded, one statement at
+// a time may run again.
+func TestOverdueStatementDoesNotBlockOthers(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := &dialer{limit: 5}
 		l := newLane("x", d.dial, monotonic.New(), gateways.Share{Kept: 2, Idle: 2, Running: 1})
 		lost := acquire(t, l)
-		_, err := l.Acquire(context.Background(), Order{}, leastOverdue/2)
-		require.Error(t, err, "it may still be answered")
-		time.Sleep(leastOverdue)
-		l.tend()
+		_, err := l.Acquire(context.Background(), Order{}, minOverdue/2)
+		require.Error(t, err, "the first statement may still be answered")
+		time.Sleep(minOverdue)
+		l.maintain()
 		next := acquire(t, l)
-		_, err = l.Acquire(context.Background(), Order{}, leastOverdue/2)
-		require.Error(t, err, "one runs beside it, no more")
+		_, err = l.Acquire(context.Background(), Order{}, minOverdue/2)
+		require.Error(t, err, "only one statement may run beside the overdue one")
 		lost.Discard()
-		_, err = l.Acquire(context.Background(), Order{}, leastOverdue/2)
+		_, err = l.Acquire(context.Background(), Order{}, minOverdue/2)
 		require.Error(t, err)
 		next.Release()
 		acquire(t, l).Release()
@@ -37,22 +37,22 @@
 	})
 }
 
-// A transaction waits for its consumer, runs a statement, and waits again. Only the
-// time in which it runs something can make it overdue.
-func TestRestIsNotOverdue(t *testing.T) {
+// A transaction waits for its consumer, runs a statement, and waits again. Only the time in which
+// it runs a statement may make it overdue.
+func TestParkedTimeIsNotOverdue(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := &dialer{limit: 5}
 		l := newLane("x", d.dial, monotonic.New(), gateways.Share{Kept: 2, Idle: 2, Running: 1})
 		c := acquire(t, l)
 		c.Rest()
-		time.Sleep(2 * leastOverdue)
-		l.tend()
+		time.Sleep(2 * minOverdue)
+		l.maintain()
 		require.Zero(t, l.overdue)
 		require.NoError(t, c.Resume(context.Background(), Order{}, time.Second))
-		l.tend()
+		l.maintain()
 		require.Zero(t, l.overdue)
-		time.Sleep(2 * leastOverdue)
-		l.tend()
+		time.Sleep(2 * minOverdue)
+		l.maintain()
 		require.Equal(t, 1, l.overdue)
 		c.Rest()
 		require.Zero(t, l.overdue)
@@ -60,9 +60,9 @@
 	})
 }
 
-// The fleet asks a target how it is over a connection that a statement had used
-// before. The time since then is not what a statement takes.
-func TestQuestionsAreNotTakenForSlowStatements(t *testing.T) {
+// A control command uses a connection that a statement used before. The time since then must not
+// count as that of a statement.
+func TestControlCommandsDoNotCountAsSlowStatements(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := &dialer{limit: 5}
 		l := newLane("x", d.dial, monotonic.New(), gateways.Share{Kept: 2, Idle: 2, Running: 1})
@@ -71,6 +71,6 @@
 		c, err := l.control(context.Background(), time.Second)
 		require.NoError(t, err)
 		c.Release()
-		require.Less(t, l.waiting.takes, 10*time.Millisecond)
+		require.Less(t, l.waiting.statementTime, 10*time.Millisecond)
 	})
 }
--- a/lane/overload_test.go
+++ b/lane/overload_test.go
@@ -15,18 +15,17 @@
 	"endivemoor.example/endivemoor/internal/bubble"
 )
 
-// overload plays requests that come one and a half times as fast as one
-// connection can serve them, for a while, and returns how many were served
-// before they were due, how many after, and how long those waited that were
-// refused.
+// overload sends requests at one and a half times the rate that one connection can serve. It
+// returns how many were served in time, how many were served late, and how long each refused one
+// waited.
 func overload(t *testing.T) (inTime, late int, refusedAfter []time.Duration) {
 	t.Helper()
 	const (
-		work     = 20 * time.Millisecond
-		every    = 13 * time.Millisecond
-		aim      = 250 * time.Millisecond
-		patience = 800 * time.Millisecond
-		requests = 400
+		work      = 20 * time.Millisecond
+		interval  = 13 * time.Millisecond
+		objective = 250 * time.Millisecond
+		timeout   = 800 * time.Millisecond
+		requests  = 400
 	)
 	inBubble(t, 1, 1, func(l *Lane, _ *dialer) {
 		l.setShare(gateways.Share{Kept: 1, Idle: 1, Running: 1})
@@ -37,7 +36,7 @@
 			go func() {
 				defer wait.Done()
 				start := l.clk.Now()
-				c, err := l.Acquire(context.Background(), Order{Due: start.Add(aim)}, patience)
+				c, err := l.Acquire(context.Background(), Order{Due: start.Add(objective)}, timeout)
 				if err == nil {
 					time.Sleep(work)
 					c.Release()
@@ -48,30 +47,30 @@
 				switch {
 				case err != nil:
 					refusedAfter = append(refusedAfter, took)
-				case took <= aim+work:
+				case took <= objective+work:
 					inTime++
 				default:
 					late++
 				}
 			}()
-			time.Sleep(every)
+			time.Sleep(interval)
 		}
 		wait.Wait()
 	})
 	return inTime, late, refusedAfter
 }
 
-// Both replicas of a service lag, and all its reads come to the primary: half as
-// many again as it can serve. Two thirds of the callers can be served in time, if
-// those who are late already do not go first; when they do, nobody is.
+// Both replicas of a service lag, and all its reads go to the primary: 1.5 times what it can serve.
+// Two thirds of the callers can be served in time. Failure guarded against: late requests are
+// served first, and then no caller is served in time.
 func TestOverloadServesMostCallersInTime(t *testing.T) {
 	inTime, _, _ := overload(t)
 	require.Greater(t, inTime, 230, "of 400, where 260 is the most that one connection serves")
 }
 
-// A caller that cannot be served in its time learns so at once, and when to come
-// back, instead of waiting until its time is over.
-func TestHopelessRequestsAreRefusedAtOnce(t *testing.T) {
+// A request that cannot be served in time must be refused at once, with a retry-after, instead of
+// waiting until it times out.
+func TestRequestsThatWouldBeLateAreRefusedAtOnce(t *testing.T) {
 	_, _, refused := overload(t)
 	require.NotEmpty(t, refused)
 	atOnce := 0
@@ -83,9 +82,9 @@
 	require.Greater(t, float64(atOnce)/float64(len(refused)), 0.5)
 }
 
-// A target has three slots, and this VM holds ten connections to it. Were all
-// ten requests sent, seven would wait in the target's own queue, where an urgent
-// one that comes next waits behind them all.
+// A target has three slots, and this VM holds ten connections to it. Failure guarded against: all
+// ten requests are sent, seven of them wait in the target's own queue, and an urgent request that
+// arrives next waits behind them.
 func TestRequestsBeyondTheSlotsWaitHere(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := &dialer{limit: 10}
@@ -95,10 +94,10 @@
 			held = append(held, acquire(t, l))
 		}
 		_, err := l.Acquire(context.Background(), Order{}, 100*time.Millisecond)
-		require.Error(t, err, "a fifth would only wait at the target")
+		require.Error(t, err, "a fifth statement would only wait at the target")
 		held[0].Rest()
 		fifth := acquire(t, l)
-		require.Error(t, held[0].Resume(context.Background(), Order{}, 100*time.Millisecond), "four run again")
+		require.Error(t, held[0].Resume(context.Background(), Order{}, 100*time.Millisecond), "four statements run again")
 		go func() {
 			time.Sleep(50 * time.Millisecond)
 			held[1].Rest()
@@ -108,13 +107,12 @@
 			c.Release()
 		}
 		require.Zero(t, l.Load().InUse)
-		require.Zero(t, l.resting)
+		require.Zero(t, l.parked)
 	})
 }
 
-// A target is behind a partition: connecting hangs. One request at a time learns
-// it by waiting; the others hear at once, and the target serves as soon as it can be
-// reached.
+// A target is behind a partition, and connecting hangs. Only one request at a time may wait for the
+// dial; the others must fail at once, and requests are served as soon as the target is reachable.
 func TestHangingTargetIsNotWaitedForAgain(t *testing.T) {
 	inBubble(t, 3, 2, func(l *Lane, d *dialer) {
 		d.hang(700 * time.Millisecond)
@@ -140,10 +138,10 @@
 	})
 }
 
-// Callers hold every connection that a target takes. An order of the fleet is
-// refused by the target like anybody, and gets the next connection that becomes
-// free, before all who wait.
-func TestOrderGetsTheNextFreeConnection(t *testing.T) {
+// Requests hold every connection that a target accepts. The target refuses a control command's
+// connection too; the command must get the next connection that becomes free, before all waiting
+// requests.
+func TestControlCommandGetsTheNextFreeConnection(t *testing.T) {
 	inBubble(t, 2, 2, func(l *Lane, _ *dialer) {
 		held := []*Conn{acquire(t, l), acquire(t, l)}
 		got := make(chan string, 2)
@@ -157,34 +155,33 @@
 		go func() {
 			c, err := l.control(context.Background(), 300*time.Millisecond)
 			require.NoError(t, err)
-			got <- "order"
+			got <- "command"
 			time.Sleep(time.Millisecond)
 			c.Release()
 		}()
 		time.Sleep(100 * time.Millisecond)
 		held[0].Release()
-		require.Equal(t, "order", <-got)
+		require.Equal(t, "command", <-got)
 		require.Equal(t, "request", <-got)
 		held[1].Release()
 	})
 }
 
-// Half as many again come as a target can serve, of two kinds: short purchases,
-// which the operator has given the higher priority and which are due soonest, and
-// long reads that are due later. Ordered by when they are due alone, a purchase
-// that finds a long queue of reads is late already and refused, and it is the reads
-// that are served.
+// The load is 1.5 times what a target can serve: short purchases, which have the higher priority
+// and are due sooner, and long reads that are due later. Failure guarded against: requests are
+// ordered by due time alone, a purchase that arrives behind a long queue of reads is late already
+// and refused, and the reads are served.
 func TestOverloadServesTheHigherPriorityFirst(t *testing.T) {
 	const requests = 500
-	var bought, wanted, read atomic.Int64
+	var purchased, purchases, read atomic.Int64
 	inBubble(t, 1, 1, func(l *Lane, _ *dialer) {
 		l.setShare(gateways.Share{Kept: 1, Idle: 1, Running: 1})
 		var wait sync.WaitGroup
 		for i := range requests {
 			o, work, served := Order{Due: l.clk.Now().Add(500 * time.Millisecond), Priority: 2}, 30*time.Millisecond, &read
 			if i%4 == 0 {
-				o, work, served = Order{Due: l.clk.Now().Add(150 * time.Millisecond), Priority: 1}, 6*time.Millisecond, &bought
-				wanted.Add(1)
+				o, work, served = Order{Due: l.clk.Now().Add(150 * time.Millisecond), Priority: 1}, 6*time.Millisecond, &purchased
+				purchases.Add(1)
 			}
 			wait.Go(func() {
 				c, err := l.Acquire(context.Background(), o, 800*time.Millisecond)
@@ -201,7 +198,7 @@
 		}
 		wait.Wait()
 	})
-	t.Logf("purchases %d of %d, reads %d of %d", bought.Load(), wanted.Load(), read.Load(), requests-wanted.Load())
-	require.Greater(t, bought.Load(), wanted.Load()*9/10)
+	t.Logf("purchases %d of %d, reads %d of %d", purchased.Load(), purchases.Load(), read.Load(), requests-purchases.Load())
+	require.Greater(t, purchased.Load(), purchases.Load()*9/10)
 	require.Greater(t, read.Load(), int64(180), "three quarters of the 241 that fit beside the purchases")
 }
--- a/lane/pool.go
+++ b/lane/pool.go
@@ -17,16 +17,14 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// unusedAfter is how long a lane without connections is kept unused. What it has
-// learned of its target's pace is worth nothing by then.
+// unusedAfter is how long an unused lane without connections is retained. Its measurements of the
+// target's speed are outdated by then.
 const unusedAfter = time.Minute
 
-// Pool holds the lanes to the targets that this VM uses. It is safe for
-// concurrent use.
+// Pool holds the lanes to the targets that this VM uses. It is safe for concurrent use.
 //
-// A VM of a large fleet uses few of the targets. That lanes are made on first use
-// gains most of what a change of the catalog costs, which else grows with the square
-// of the deployment's size.
+// Lanes are created on first use, because a VM of a large fleet uses few of the targets. Otherwise
+// the cost of a catalog change would grow with the square of the deployment's size.
 type Pool struct {
 	clk  clock.Clock
 	dial func(t *catalog.Target) Dialer
@@ -37,21 +35,21 @@
 	share   func(t *catalog.Target) gateways.Share
 }
 
-// NewPool returns a Pool that opens links by dial.
+// NewPool returns a Pool that opens links with the Dialer that dial returns for a target.
 func NewPool(clk clock.Clock, dial func(t *catalog.Target) Dialer) *Pool {
 	return &Pool{clk: clk, dial: dial, lanes: make(map[target.ID]*Lane)}
 }
 
-// Update makes the lanes fit a catalog: lost targets lose theirs, and every lane
-// gets this VM's share of its target's connections. It is called by one goroutine.
+// Update applies a catalog: the lanes of removed targets are closed, and every other lane gets this
+// VM's share of its target's connections. It must be called by one goroutine only.
 func (p *Pool) Update(c *catalog.Catalog, share func(t *catalog.Target) gateways.Share) {
 	for id, l := range p.adopt(c, share) {
 		l.setShare(share(c.Targets[id]))
 	}
 }
 
-// adopt takes over the targets, and returns the lanes that stay. Their shares take
-// longer to work out than requests should wait for the lock.
+// adopt stores the catalog's targets and returns the remaining lanes. The caller computes their
+// shares after the lock is released, because this takes longer than requests should wait.
 func (p *Pool) adopt(c *catalog.Catalog, share func(t *catalog.Target) gateways.Share) map[target.ID]*Lane {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,13 +63,13 @@
 	return maps.Clone(p.lanes)
 }
 
-// leadsTo reports whether the lane was made for a target as it is now.
+// leadsTo reports whether the lane was created for the current incarnation of a target.
 //
-// Failure guarded against: a target starts again under its id, maybe elsewhere. Its
-// lane's connections lead to a process that is gone, and where that one's VM lost
-// power nothing resets them: each request on one waits for its answer in vain.
+// Failure guarded against: a target restarts under its id, possibly at another address. The lane's
+// connections lead to a process that has ended, and if its VM lost power nothing resets them: every
+// request sent on one waits for its answer until it times out.
 func (l *Lane) leadsTo(t *catalog.Target) bool {
-	return l.made.Addr == t.Addr && l.made.Service == t.Service && l.made.Incarnation == t.Incarnation
+	return l.target.Addr == t.Addr && l.target.Service == t.Service && l.target.Incarnation == t.Incarnation
 }
 
 // Lane returns the lane to a target, or nil if the target is not known.
@@ -87,7 +85,7 @@
 	t := p.targets[id]
 	if l = p.lanes[id]; l == nil && t != nil {
 		l = newLane(id, p.dial(t), p.clk, p.share(t))
-		l.made = t
+		l.target = t
 		p.lanes[id] = l
 	}
 	return l
@@ -95,9 +93,9 @@
 
 // use calls f with the lane to a target.
 //
-// Failure guarded against: the lane is dropped as unused between being looked up and
-// being used. It shows as a request that waits for a connection until its time is
-// over. A dropped lane says so, and one is made anew.
+// Failure guarded against: the lane is dropped as unused between its look-up and its use, and the
+// request waits for a connection until it times out. A dropped lane returns errClosed, and use
+// creates a new one.
 func (p *Pool) use(id target.ID, f func(l *Lane) error) error {
 	for {
 		l := p.Lane(id)
@@ -110,13 +108,13 @@
 	}
 }
 
-// Tend closes connections that are kept beyond need, opens those that requests
-// still wait for, and drops unused lanes. It is due every TendEvery.
+// Maintain closes connections that are no longer needed, opens those that requests still wait for,
+// and drops unused lanes. It must be called every MaintainInterval.
 func (p *Pool) Tend() {
 	p.mu.RLock()
 	var unused []target.ID
 	for id, l := range p.lanes {
-		l.tend()
+		l.maintain()
 		if l.unused() {
 			unused = append(unused, id)
 		}
@@ -127,7 +125,7 @@
 	}
 }
 
-// drop takes lanes away that are still unused.
+// drop removes those of the lanes that are still unused.
 func (p *Pool) drop(unused []target.ID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,7 +155,7 @@
 	return l.Load()
 }
 
-// Waited returns the state of each lane that requests wait for.
+// QueuedLoads returns the state of each lane that has waiting requests.
 func (p *Pool) Waited() map[target.ID]Load {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
@@ -170,57 +168,57 @@
 	return out
 }
 
-// Ask is one of the fleet's own questions or orders.
+// Command is a control command to a target: a status query, or a change of the target's role.
 type Ask struct {
-	kind askKind
+	kind commandKind
 	term timeline.Term
 }
 
-type askKind uint8
+type commandKind uint8
 
 const (
-	askStatus askKind = iota
-	askResume
-	askPause
-	askStepDown
+	commandStatus commandKind = iota
+	commandResume
+	commandPause
+	commandStepDown
 )
 
-// Asks of a target.
+// Commands without arguments.
 var (
-	// AskStatus asks for the target's account of itself.
-	AskStatus = Ask{kind: askStatus}
-	// AskResume orders a replica to receive again.
-	AskResume = Ask{kind: askResume}
+	// StatusCommand requests the target's status report.
+	AskStatus = Ask{kind: commandStatus}
+	// ResumeCommand commands a replica to receive entries again.
+	AskResume = Ask{kind: commandResume}
 )
 
-// AskPause orders a replica to receive nothing of a term below the given one.
-func AskPause(term timeline.Term) Ask { return Ask{kind: askPause, term: term} }
+// PauseCommand returns a Command to a replica to receive no entries of a term below the given one.
+func AskPause(term timeline.Term) Ask { return Ask{kind: commandPause, term: term} }
 
-// AskStepDown orders a primary of a term below the given one to lead no longer.
-func AskStepDown(term timeline.Term) Ask { return Ask{kind: askStepDown, term: term} }
+// StepDownCommand returns a Command to a primary of a term below the given one to step down.
+func AskStepDown(term timeline.Term) Ask { return Ask{kind: commandStepDown, term: term} }
 
-// Encode returns an Ask in a form that other VMs understand; Decode reads it.
-func (a Ask) Encode() (kind uint32, term uint64) { return uint32(a.kind), uint64(a.term) }
+// Encode returns the command in the form that is sent to other VMs; DecodeCommand reads it.
+func (c Ask) Encode() (kind uint32, term uint64) { return uint32(c.kind), uint64(c.term) }
 
-// DecodeAsk reads what Encode returned; false if this version does not know it.
+// DecodeCommand reads the result of Encode; false if this version does not support the command.
 func DecodeAsk(kind uint32, term uint64) (Ask, bool) {
-	return Ask{kind: askKind(kind), term: timeline.Term(term)}, kind <= uint32(askStepDown)
+	return Ask{kind: commandKind(kind), term: timeline.Term(term)}, kind <= uint32(commandStepDown)
 }
 
-func (a Ask) queue(l Link) {
-	switch a.kind {
-	case askStatus:
+func (c Ask) queueOn(l Link) {
+	switch c.kind {
+	case commandStatus:
 		l.QueueStatus()
-	case askResume:
+	case commandResume:
 		l.QueueResume()
-	case askPause:
-		l.QueuePause(a.term)
-	case askStepDown:
-		l.QueueStepDown(a.term)
+	case commandPause:
+		l.QueuePause(c.term)
+	case commandStepDown:
+		l.QueueStepDown(c.term)
 	}
 }
 
-// RefusedError says that a target refused a question or an order.
+// RefusedError reports that a target refused a command.
 type RefusedError struct {
 	Target target.ID
 	Code   statement.Code
@@ -229,11 +227,11 @@
 // Error names the target and the code.
 func (e *RefusedError) Error() string { return string(e.Target) + " refused: " + e.Code.String() }
 
-// TendEvery is the interval at which Tend is due.
+// MaintainInterval is the interval at which Maintain must be called.
 const TendEvery = 50 * time.Millisecond
 
-// Answered reports whether err shows that the target is alive: it refused the
-// question, or the connection.
+// Answered reports whether err shows that the target is alive: it refused the command or the
+// connection.
 func Answered(err error) bool {
 	var refused *RefusedError
 	if errors.As(err, &refused) {
@@ -243,12 +241,11 @@
 	return errors.As(err, &unavailable) && unavailable.Code == statement.TooManyConnections
 }
 
-// Refused reports whether err shows that no process listens at the target.
+// Refused reports whether err shows that no process listens at the target's address.
 func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// Control sends one of the fleet's own questions or orders, and returns the
-// answer's rows.
-func (p *Pool) Control(ctx context.Context, id target.ID, ask Ask, timeout time.Duration) ([]string, error) {
+// Control sends a control command and returns the rows of the answer.
+func (p *Pool) Control(ctx context.Context, id target.ID, command Ask, timeout time.Duration) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var c *Conn
@@ -259,7 +256,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ask.queue(c)
+	command.queueOn(c)
 	if err := c.Flush(timeout); err != nil {
 		c.Discard()
 		return nil, errors.Wrapf(err, "ask %s", id)
--- a/lane/pool_test.go
+++ b/lane/pool_test.go
@@ -15,7 +15,7 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// groupsOf is a catalog of n services with three targets each, and n VMs.
+// groupsOf returns a catalog of n services with three targets each, and n VMs.
 func groupsOf(n int) *catalog.Catalog {
 	c := &catalog.Config{Version: 1, Services: make(map[string]*catalog.Service)}
 	targets := make(map[target.ID]*catalog.Target)
@@ -49,9 +49,9 @@
 	return c
 }
 
-// A VM of a large fleet uses a few of thousands of targets. Were there a lane to
-// each, every change of the catalog would cost it seconds, and it would look at
-// all of them twenty times a second.
+// A VM of a large fleet uses a few of thousands of targets. Failure guarded against: it has a lane
+// to each, so that every catalog change costs it seconds, and it visits all of them twenty times a
+// second.
 func TestLanesAreMadeForUsedTargetsOnly(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		c := groupsOf(5)
@@ -63,13 +63,13 @@
 		p.Update(&catalog.Catalog{}, gateways.NewPlan("vm1", c).Share)
 		require.Empty(t, p.lanes)
 		_, err := p.Acquire(context.Background(), "s1-0", Order{}, time.Second)
-		require.Error(t, err, "its target is gone")
+		require.Error(t, err, "the target was removed")
 	})
 }
 
-// A service's last consumer has left this VM. Its lanes go once they have no
-// connection, and come back with the next consumer. One whose connection is in a
-// transaction stays, however long that takes.
+// The last consumer of a service has left this VM. The service's lanes are dropped once they have
+// no connection, and created again for the next consumer. A lane with a connection in use is
+// retained, however long its transaction takes.
 func TestUnusedLanesAreDropped(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		p := poolOn(groupsOf(2))
@@ -89,10 +89,10 @@
 	})
 }
 
-// A target goes, or its lane is dropped, at the moment when a request has looked
-// the lane up. Whoever asks a closed lane is told so at once: it would wait there
-// for a connection until its time is over.
-func TestAClosedLaneKeepsNobodyWaiting(t *testing.T) {
+// A target is removed, or its lane is dropped, just after a request has looked the lane up. A
+// closed lane must fail the request at once. Otherwise it would wait there for a connection until
+// it times out.
+func TestClosedLaneFailsRequestsAtOnce(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		p := poolOn(groupsOf(1))
 		old := p.Lane("s0-0")
@@ -100,17 +100,17 @@
 		old.close()
 		delete(p.lanes, "s0-0")
 		p.mu.Unlock()
-		began := time.Now()
+		start := time.Now()
 		_, err := old.Acquire(context.Background(), Order{}, time.Second)
 		require.ErrorIs(t, err, errClosed)
 		_, err = old.control(context.Background(), time.Second)
 		require.ErrorIs(t, err, errClosed)
-		require.Zero(t, time.Since(began))
+		require.Zero(t, time.Since(start))
 		take(t, p, "s0-0").Release()
 	})
 }
 
-// BenchmarkUpdate is what a change of the catalog costs a VM that uses one target.
+// BenchmarkUpdate measures the cost of a catalog change on a VM that uses one target.
 func BenchmarkUpdate(b *testing.B) {
 	for _, n := range []int{10, 30, 100, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/lane/serve.go
+++ b/lane/serve.go
@@ -10,14 +10,14 @@
 	"endivemoor.example/endivemoor/clock"
 )
 
-// hand lays a connection that counts as in use aside, and serves those that
-// wait.
-func (l *Lane) hand(c *Conn) {
+// putIdle makes a connection in use idle, or closes it if it is not to be retained, and serves the
+// waiting requests.
+func (l *Lane) putIdle(c *Conn) {
 	if l.closed {
 		l.drop(c)
 		return
 	}
-	if l.lent && c.asked && l.waiting.Len()+l.urgent.Len() == 0 {
+	if l.lent && c.forControl && l.waiting.Len()+l.controlQueue.Len() == 0 {
 		l.drop(c)
 		return
 	}
@@ -30,151 +30,151 @@
 		l.idle = append(l.idle, c)
 	}
 	l.serve(now)
-	l.growFor(now, l.lacks)
+	l.growFor(now, l.lacksConnection)
 }
 
-// lacks reports whether a request waits for a workspace that has no connection, nor one
-// on its way.
-func (l *Lane) lacks(w *waiter) bool {
-	return l.openFor[w.order.Workspace] == 0 && l.dialsFor[w.order.Workspace] == 0
+// lacksConnection reports whether a request's workspace has neither a connection nor a dial in
+// progress.
+func (l *Lane) lacksConnection(w *waiter) bool {
+	return l.openFor[w.opts.Workspace] == 0 && l.dialsFor[w.opts.Workspace] == 0
 }
 
-// mustYield reports whether a connection that comes back is to be closed for the request
-// that goes first.
+// mustYield reports whether a released connection must be closed to make room for the request at
+// the head of the queue.
 //
-// Failure guarded against: each connection that comes back is wanted by another request of
-// its own workspace, and a workspace that has none waits until its time is over.
+// Failure guarded against: every released connection goes to another request of its own workspace,
+// and the requests of a workspace without a connection wait until they time out.
 func (l *Lane) mustYield(now clock.Time) bool {
-	if len(l.idle) > 0 || l.open+l.dialing < l.most(now) || l.dialing >= maxDialing {
+	if len(l.idle) > 0 || l.open+l.dialing < l.maxOpen(now) || l.dialing >= maxDialing {
 		return false
 	}
 	w := l.waiting.first(anyone)
-	return w != nil && l.lacks(w)
+	return w != nil && l.lacksConnection(w)
 }
 
-// serve gives idle connections to those that wait, as many as may run.
+// serve assigns idle connections to waiting requests, as many as may run, and refuses late ones if
+// the target is overloaded.
 func (l *Lane) serve(now clock.Time) {
-	for l.urgent.Len() > 0 {
+	for l.controlQueue.Len() > 0 {
 		c := l.takeIdleIf(func(*Conn) bool { return true })
 		if c == nil {
 			break
 		}
-		l.urgent.next(now, anyone).ready <- delivery{conn: c}
+		l.controlQueue.next(now, anyone).ready <- delivery{conn: c}
 	}
-	for l.resuming.Len() > 0 && l.mayRun() {
-		w := l.resuming.next(now, anyone)
-		l.setResting(w.held, false)
+	for l.unparking.Len() > 0 && l.mayRun() {
+		w := l.unparking.next(now, anyone)
+		l.setParked(w.held, false)
 		w.ready <- delivery{conn: w.held}
 	}
 	for l.waiting.Len() > 0 && l.mayRun() && l.serveOne(now) {
 	}
-	if l.drain.after(l.waiting.inTime.Len()) < calmBacklog {
+	if l.drain.after(l.waiting.inTime.Len()) < overloadEndBacklog {
 		l.waiting.setOverloaded(false)
 	}
-	late := l.waiting.hopeless(now)
+	late := l.waiting.shedLate(now)
 	if len(late) == 0 {
 		return
 	}
-	err := l.overloaded()
+	err := l.overloadedError()
 	for _, w := range late {
 		w.ready <- delivery{err: err}
 	}
 }
 
-// serveOne gives an idle connection to the request that goes first of those that one
-// fits; false if none does.
+// serveOne assigns an idle connection to the first waiting request of a workspace that has one;
+// false if there is none.
 func (l *Lane) serveOne(now clock.Time) bool {
 	w := l.waiting.next(now, func(w *waiter) bool {
-		return slices.ContainsFunc(l.idle, func(c *Conn) bool { return c.workspace == w.order.Workspace })
+		return slices.ContainsFunc(l.idle, func(c *Conn) bool { return c.workspace == w.opts.Workspace })
 	})
 	if w == nil {
 		return false
 	}
-	c := l.takeIdle(w.order.Workspace)
+	c := l.takeIdle(w.opts.Workspace)
 	if c == nil {
 		l.waiting.push(w)
 		return true
 	}
 	l.begin(c, now)
-	l.drain.served(now, l.waiting.Len() > 0)
+	l.drain.recordServed(now, l.waiting.Len() > 0)
 	w.ready <- delivery{conn: c}
 	return true
 }
 
-// hopeless reports whether a request would be late if it waited now, at a target
-// that has no time for late ones.
-func (l *Lane) hopeless(now clock.Time, o Order) bool {
+// wouldBeLate reports whether the target is overloaded and a request that is queued now would miss
+// its objective.
+func (l *Lane) wouldBeLate(now clock.Time, o Order) bool {
 	if !l.waiting.overloaded {
 		return false
 	}
 	wait := l.drain.after(l.waiting.ahead(o) + 1)
-	return wait > 0 && now.Add(wait+l.waiting.takes).After(o.Due)
+	return wait > 0 && now.Add(wait+l.waiting.statementTime).After(o.Due)
 }
 
-// overloaded is the refusal of a request that cannot be served in its time.
-func (l *Lane) overloaded() error {
+// overloadedError returns the refusal of a request that cannot be served in time.
+func (l *Lane) overloadedError() error {
 	return &UnavailableError{Target: l.id, ComeBack: l.drain.after(l.waiting.Len() + 1), Cause: errors.New("more is asked than the target can do")}
 }
 
-// mayRun reports whether one more statement may be sent to the target. The
-// target's own queue is first come first served; beyond what keeps its slots
-// busy, requests wait here, in the order of their urgency.
-func (l *Lane) mayRun() bool { return l.running == 0 || l.inUse-l.resting-l.overdue < l.running }
+// mayRun reports whether one more statement may be sent to the target. The target's own queue is
+// first come, first served; so only as many statements are sent as keep its slots busy, and further
+// requests wait in this VM's queue, ordered by urgency.
+func (l *Lane) mayRun() bool { return l.maxRunning == 0 || l.inUse-l.parked-l.overdue < l.maxRunning }
 
-// begin notes that a connection is handed to a statement.
+// begin records that a statement has acquired the connection.
 func (l *Lane) begin(c *Conn, now clock.Time) {
-	c.handed, c.runs, c.rested = now, now, false
+	c.acquiredAt, c.runningSince, c.wasParked = now, now, false
 	l.busy[c] = struct{}{}
 }
 
-// end notes that a connection is given back.
+// end records that a connection is released or discarded.
 func (l *Lane) end(c *Conn) {
 	delete(l.busy, c)
-	l.setResting(c, false)
+	l.setParked(c, false)
 	l.setOverdue(c, false)
 }
 
-// rest notes that a connection in use runs nothing: its transaction waits for
-// its consumer.
-func (l *Lane) rest(c *Conn) {
+// park implements Conn.Park.
+func (l *Lane) park(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.setResting(c, true)
+	l.setParked(c, true)
 	l.serve(l.clk.Now())
 }
 
-// resume waits until a resting connection may run a statement. It goes before
-// all that wait for a connection: it holds one already, which they need.
-func (l *Lane) resume(ctx context.Context, c *Conn, o Order, timeout time.Duration) error {
+// unpark implements Conn.Unpark. It takes precedence over requests that wait for a connection,
+// because it already holds one, which they need.
+func (l *Lane) unpark(ctx context.Context, c *Conn, o Order, timeout time.Duration) error {
 	l.mu.Lock()
-	if !c.resting {
+	if !c.parked {
 		l.mu.Unlock()
 		return nil
 	}
 	if l.mayRun() {
-		l.setResting(c, false)
+		l.setParked(c, false)
 		l.mu.Unlock()
 		return nil
 	}
-	w := &waiter{order: o, ready: make(chan delivery, 1), held: c}
-	l.resuming.push(w)
+	w := &waiter{opts: o, ready: make(chan delivery, 1), held: c}
+	l.unparking.push(w)
 	l.mu.Unlock()
 	_, err := l.await(ctx, w, timeout)
 	return err
 }
 
-func (l *Lane) setResting(c *Conn, resting bool) {
-	if c.resting == resting {
+func (l *Lane) setParked(c *Conn, parked bool) {
+	if c.parked == parked {
 		return
 	}
 	l.setOverdue(c, false)
-	c.runs = l.clk.Now()
-	c.resting = resting
-	if resting {
-		c.rested = true
-		l.resting++
+	c.runningSince = l.clk.Now()
+	c.parked = parked
+	if parked {
+		c.wasParked = true
+		l.parked++
 	} else {
-		l.resting--
+		l.parked--
 	}
 }
 
@@ -182,10 +182,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.end(c)
-	if c.handed != 0 && !c.rested {
-		l.waiting.took(l.clk.Now().Sub(c.handed))
+	if c.acquiredAt != 0 && !c.wasParked {
+		l.waiting.recordStatementTime(l.clk.Now().Sub(c.acquiredAt))
 	}
-	l.hand(c)
+	l.putIdle(c)
 }
 
 func (l *Lane) drop(c *Conn) {
--- a/lane/workspace_test.go
+++ b/lane/workspace_test.go
@@ -16,7 +16,7 @@
 	"endivemoor.example/endivemoor/internal/bubble"
 )
 
-// forWorkspace asks for a connection, which must be of the workspace.
+// forWorkspace acquires a connection and requires that it was opened for the workspace.
 func forWorkspace(t *testing.T, l *Lane, workspace string, timeout time.Duration) *Conn {
 	t.Helper()
 	c, err := l.Acquire(context.Background(), Order{Workspace: workspace, Due: l.clk.Now().Add(200 * time.Millisecond)}, timeout)
@@ -25,18 +25,18 @@
 	return c
 }
 
-// Guards against: a statement on a connection that was opened for another workspace.
+// Failure guarded against: a statement runs on a connection that was opened for another workspace.
 func TestConnectionServesOneWorkspace(t *testing.T) {
 	inBubble(t, 10, 10, func(l *Lane, d *dialer) {
 		forWorkspace(t, l, "north", time.Second).Release()
 		forWorkspace(t, l, "south", time.Second).Release()
 		forWorkspace(t, l, "north", time.Second).Release()
 		_, dials := d.links()
-		require.Equal(t, 2, dials, "the first one is used again")
+		require.Equal(t, 2, dials, "the first connection is reused")
 	})
 }
 
-// Guards against: workspaces that find no room because others keep all connections.
+// Failure guarded against: a workspace gets no connection because others retain all of them.
 func TestIdleConnectionOfAnotherWorkspaceMakesRoom(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := &dialer{limit: 3}
@@ -48,8 +48,9 @@
 	})
 }
 
-// Guards against: a workspace that waits behind others' statements until its time is over, while each connection goes back to a workspace that has one.
-func TestBusyWorkspacesStarveNobody(t *testing.T) {
+// Failure guarded against: a workspace's requests wait behind those of others until they time out,
+// because each released connection goes to a workspace that has one.
+func TestBusyWorkspacesDoNotStarveOthers(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := &dialer{limit: 2}
 		l := newLane("x", d.dial, monotonic.New(), gateways.Share{Kept: 2, Idle: 2, Running: 2})
@@ -66,15 +67,17 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 		for range 5 {
-			forWorkspace(t, l, "quiet", 300*time.Millisecond).Release()
+			forWorkspace(t, l, "idle", 300*time.Millisecond).Release()
 			time.Sleep(100 * time.Millisecond)
 		}
 		wait.Wait()
 	})
 }
 
-// Guards against: requests of a workspace that has no connection, which wait in vain and go unnoticed while the target is gone and others' connections still seem to be open.
-func TestWorkspaceWithoutAConnectionLearnsThatTheTargetIsGone(t *testing.T) {
+// Failure guarded against: the target is unreachable, and the requests of a workspace without a
+// connection wait until they time out, because connections of other workspaces still seem to be
+// open.
+func TestUnreachableTargetFailsRequestsOfAWorkspaceWithoutAConnection(t *testing.T) {
 	inBubble(t, 10, 10, func(l *Lane, d *dialer) {
 		forWorkspace(t, l, "north", time.Second).Release()
 		d.mu.Lock()
@@ -88,16 +91,16 @@
 	})
 }
 
-// Guards against: an overload that is not found because the requests passed over count as served.
-func TestPassedOverRequestsAreNotServed(t *testing.T) {
-	q := &queue{judges: true}
+// Failure guarded against: an overload is not detected because skipped requests count as served.
+func TestSkippedRequestsAreNotServed(t *testing.T) {
+	q := &queue{detectsLate: true}
 	for _, w := range []string{"a", "b"} {
-		q.push(&waiter{order: Order{Workspace: w, Due: 1}})
+		q.push(&waiter{opts: Order{Workspace: w, Due: 1}})
 	}
-	require.Nil(t, q.next(10, func(w *waiter) bool { return w.order.Workspace == "c" }))
+	require.Nil(t, q.next(10, func(w *waiter) bool { return w.opts.Workspace == "c" }))
 	require.Equal(t, 2, q.Len())
 	served := q.lateServed
-	require.Nil(t, q.next(20, func(w *waiter) bool { return w.order.Workspace == "c" }))
+	require.Nil(t, q.next(20, func(w *waiter) bool { return w.opts.Workspace == "c" }))
 	require.Equal(t, served, q.lateServed)
-	require.Equal(t, "b", q.next(30, func(w *waiter) bool { return w.order.Workspace == "b" }).order.Workspace)
+	require.Equal(t, "b", q.next(30, func(w *waiter) bool { return w.opts.Workspace == "b" }).opts.Workspace)
 }
