--- a/placing/placing_test.go
+++ b/placing/placing_test.go
@@ -20,30 +20,30 @@
 	return candidates[i].ID
 }
 
-func TestReadsStayNearAndOffThePrimary(t *testing.T) {
+func TestReadsStayInTheZoneAndOffThePrimary(t *testing.T) {
 	b := NewBoard()
-	near, far := Candidate{ID: "near", Near: true}, Candidate{ID: "far"}
+	same, cross := Candidate{ID: "same-zone", Near: true}, Candidate{ID: "cross-zone"}
 	primary := Candidate{ID: "primary", Near: true, Primary: true}
-	require.Equal(t, target.ID("near"), pick(b, at(0), far, primary, near))
-	near.Waiting = 1
-	require.Equal(t, target.ID("far"), pick(b, at(0), far, primary, near), "a queue costs more than the way")
-	far.Waiting, near.Waiting = 3, 3
-	require.Equal(t, target.ID("near"), pick(b, at(0), far, primary, near), "writes need the primary")
-	far.Waiting, near.Waiting = 6, 6
-	require.Equal(t, target.ID("primary"), pick(b, at(0), far, primary, near), "an idle primary helps when replicas are full")
+	require.Equal(t, target.ID("same-zone"), pick(b, at(0), cross, primary, same))
+	same.Waiting = 1
+	require.Equal(t, target.ID("cross-zone"), pick(b, at(0), cross, primary, same), "a queue costs more than crossing zones")
+	cross.Waiting, same.Waiting = 3, 3
+	require.Equal(t, target.ID("same-zone"), pick(b, at(0), cross, primary, same), "writes need the primary")
+	cross.Waiting, same.Waiting = 6, 6
+	require.Equal(t, target.ID("primary"), pick(b, at(0), cross, primary, same), "an idle primary serves reads when replicas are saturated")
 	require.Empty(t, pick(b, at(0)))
 }
 
-// One server turns slow. Nobody tells; its answers show it, and reads go
-// elsewhere. It is tried again after some seconds.
-func TestSlowTargetIsLeftAloneAndTriedAgain(t *testing.T) {
+// A target becomes slow. Only the latency of its answers shows it; reads must go elsewhere, and the
+// target must be tried again after some seconds.
+func TestSlowTargetIsAvoidedAndTriedAgain(t *testing.T) {
 	b := NewBoard()
-	slow, far := Candidate{ID: "slow", Near: true}, Candidate{ID: "far"}
+	slow, cross := Candidate{ID: "slow", Near: true}, Candidate{ID: "cross-zone"}
 	for i := range 20 {
 		b.Served("slow", at(i*10), 100*time.Millisecond)
 	}
-	require.Equal(t, target.ID("far"), pick(b, at(200), slow, far))
-	require.Equal(t, target.ID("slow"), pick(b, at(20_000), slow, far))
+	require.Equal(t, target.ID("cross-zone"), pick(b, at(200), slow, cross))
+	require.Equal(t, target.ID("slow"), pick(b, at(20_000), slow, cross))
 }
 
 func TestFailedOrLaggingTargetIsALastResort(t *testing.T) {
@@ -51,7 +51,7 @@
 	x, y := Candidate{ID: "x", Near: true}, Candidate{ID: "y", Waiting: 5}
 	b.Failed("x", at(0))
 	require.Equal(t, target.ID("y"), pick(b, at(10), x, y))
-	require.Equal(t, target.ID("x"), pick(b, at(10), x), "better than nobody")
+	require.Equal(t, target.ID("x"), pick(b, at(10), x), "the only candidate is chosen even if it failed")
 	require.Equal(t, target.ID("x"), pick(b, at(1000), x, y))
 	b.Lagged("x", at(1000))
 	require.Equal(t, target.ID("y"), pick(b, at(1010), x, y))
@@ -59,11 +59,11 @@
 	require.Equal(t, target.ID("x"), pick(b, at(2001), x, y))
 }
 
-// Under overload answers take longer. A patience that stayed as it was would
-// give up on all of them and send each again, which doubles the load.
-func TestPatienceGrowsWithTheLatency(t *testing.T) {
+// Failure guarded against: under overload answers take longer, a constant time-out expires before
+// all of them, and each read is sent again, which doubles the load.
+func TestTryTimeoutGrowsWithTheLatency(t *testing.T) {
 	b := NewBoard()
-	require.Equal(t, minPatience, b.Patience("x", at(0)))
+	require.Equal(t, minTryTimeout, b.Patience("x", at(0)))
 	for i := range 60 {
 		b.Served("x", at(i), 60*time.Millisecond)
 	}
@@ -71,19 +71,19 @@
 	for i := range 60 {
 		b.Served("x", at(100+i), time.Second)
 	}
-	require.Equal(t, maxPatience, b.Patience("x", at(160)))
+	require.Equal(t, maxTryTimeout, b.Patience("x", at(160)))
 }
 
-func TestForgottenTargetsLeaveNothing(t *testing.T) {
+func TestRemovedTargetsAreDropped(t *testing.T) {
 	b := NewBoard()
 	b.Failed("x", at(0))
 	b.Keep(func(target.ID) (int64, bool) { return 0, false })
 	require.Empty(t, b.records)
 }
 
-// A target fails, and starts again under its id. What its process before was slow
-// or failing at is no reason to pass over the new one.
-func TestTargetThatStartedAgainIsJudgedAnew(t *testing.T) {
+// A target fails and restarts under its id. Failures and latency of the previous incarnation must
+// not affect the new one.
+func TestRecordOfARestartedTargetIsDropped(t *testing.T) {
 	b := NewBoard()
 	known := func(incarnation int64) func(target.ID) (int64, bool) {
 		return func(target.ID) (int64, bool) { return incarnation, true }
@@ -92,46 +92,46 @@
 	b.Keep(known(7))
 	b.Failed("x", at(1))
 	b.Keep(known(7))
-	require.NotZero(t, b.records["x"].failed)
+	require.NotZero(t, b.records["x"].failedUntil)
 	b.Keep(known(8))
 	require.Empty(t, b.records)
 }
 
-// Both replicas of a service are seconds behind, and the primary has a queue. A
-// read that left the queue after its patience to ask them once more would lose
-// its place each time and be served by nobody.
+// Failure guarded against: both replicas of a service are seconds behind, the primary has a queue,
+// and a read that leaves the queue after the try time-out to try the replicas again loses its place
+// each time and is never served.
 func TestPrimaryIsTheOnlyChoiceWhileReplicasLag(t *testing.T) {
 	b := NewBoard()
 	all := []Candidate{{ID: "p", Primary: true, Waiting: 30}, {ID: "r1"}, {ID: "r2"}}
-	_, alone := b.Choose(1, all)
-	require.False(t, alone)
+	_, only := b.Choose(1, all)
+	require.False(t, only)
 	b.Lagged("r1", 1)
 	b.Lagged("r2", 1)
-	i, alone := b.Choose(2, all)
+	i, only := b.Choose(2, all)
 	require.Equal(t, "p", string(all[i].ID))
-	require.True(t, alone)
+	require.True(t, only)
 	b.Failed("p", 2)
-	_, alone = b.Choose(3, all)
-	require.False(t, alone, "a primary that does not answer is not waited for")
+	_, only = b.Choose(3, all)
+	require.False(t, only, "reads must not wait for an unresponsive primary")
 }
 
-// A replica that stays behind is asked less and less often, and as usual again
+// A replica that stays behind must be tried less and less often, and after the usual pause again
 // once it has served.
-func TestReplicaThatStaysBehindIsAskedSeldom(t *testing.T) {
+func TestReplicaThatStaysBehindIsTriedLessOften(t *testing.T) {
 	b := NewBoard()
-	asked, now := 0, clock.Time(1)
+	tries, now := 0, clock.Time(1)
 	all := []Candidate{{ID: "p", Primary: true}, {ID: "r"}}
 	for range 1000 {
 		now = now.Add(5 * time.Millisecond)
 		if i, _ := b.Choose(now, all); all[i].ID == "r" {
-			asked++
+			tries++
 			b.Lagged("r", now)
 		}
 	}
-	require.LessOrEqual(t, asked, 9, "in 5 s")
-	require.GreaterOrEqual(t, asked, 6)
+	require.LessOrEqual(t, tries, 9, "in 5 s")
+	require.GreaterOrEqual(t, tries, 6)
 	now = now.Add(maxLagPause)
-	b.Served("r", now, usualLatency)
+	b.Served("r", now, defaultLatency)
 	b.Lagged("r", now)
 	i, _ := b.Choose(now.Add(lagPause+1), all)
 	require.Equal(t, "r", string(all[i].ID))
