--- a/engine/breaker.go
+++ b/engine/breaker.go
@@ -7,25 +7,25 @@
 	"endivemoor.example/endivemoor/statement"
 )
 
-// errOpen says that nothing that needs the primary was served for a while.
-var errOpen = errors.New("the primary has served nobody for a while")
+// errBreakerOpen reports that the primary has served no request for some time.
+var errBreakerOpen = errors.New("the primary has served nobody for a while")
 
-// admit refuses a request at once if it is not worth waiting for the primary; nil if
-// it may try.
+// admit refuses a request at once if the breaker of the primary is open; it returns nil if the
+// request may be tried.
 func (s *Session) admit(g *groups.Group, w *work) *statement.Answer {
 	if g.Breaker.Admits(s.engine.cfg.Clock.Now()) {
 		return nil
 	}
-	return s.giveUp(w, statement.Busy, errOpen.Error())
+	return s.giveUp(w, statement.Busy, errBreakerOpen.Error())
 }
 
-// outage notes what a try at the primary shows of it. A target that is busy or has
-// no time for the request is none.
-func (s *Session) outage(g *groups.Group, v verdict) {
-	if v == unsent || v == lostAnswer {
-		s.unserved(g)
+// recordOutage records a try at the primary that failed without an answer. A busy or saturated
+// primary is not an outage.
+func (s *Session) recordOutage(g *groups.Group, result tryResult) {
+	if result == unsent || result == lostAnswer {
+		s.recordUnserved(g)
 	}
 }
 
-// unserved notes that a request found no primary that serves it.
-func (s *Session) unserved(g *groups.Group) { g.Breaker.Failed(s.engine.cfg.Clock.Now()) }
+// recordUnserved records that no primary served a request.
+func (s *Session) recordUnserved(g *groups.Group) { g.Breaker.Failed(s.engine.cfg.Clock.Now()) }
--- a/engine/confirm.go
+++ b/engine/confirm.go
@@ -9,29 +9,29 @@
 	"endivemoor.example/endivemoor/leadership"
 )
 
-// stillLeads reports whether a commit that the primary has answered may be
-// acknowledged: a witness was asked so shortly ago, or is asked now, that no
-// attempt to replace the primary can have got past its fences before the commit.
+// stillLeads reports whether a commit that the primary has answered may be acknowledged: a witness
+// was queried recently enough, or is queried now, to rule out that a promotion attempt passed its
+// fences before the commit.
 //
-// Failure guarded against: a write confirmed by a primary that is being
-// replaced. Its replicas are paused and it can confirm nothing, unless a new
-// replica joins that the attempt has not paused, or its commits wait for no
-// replica. It shows as a purchase that was confirmed and is on no log that
-// counts. It holds because an attempt ends all permissions before it looks for
-// new replicas, and waits out those of VMs that do not answer.
-func (s *Session) stillLeads(ctx context.Context, g *groups.Group, b leadership.Belief) bool {
-	if g.Deposing(b.Primary) {
-		s.unwitnessed(g, b, groups.ErrSuperseded)
+// Failure guarded against: a primary that is being replaced confirms a write. Its replicas are
+// paused, so it can confirm nothing unless a new replica joins that the attempt has not paused, or
+// its commits wait for no replica. Then a purchase is confirmed that is on none of the logs that
+// remain valid. A recent answer of a witness suffices, because an attempt revokes all read
+// permissions before it searches for new replicas, and waits until those of VMs that do not answer
+// have expired.
+func (s *Session) stillLeads(ctx context.Context, g *groups.Group, leader leadership.Belief) bool {
+	if g.Deposing(leader.Primary) {
+		s.logUnwitnessed(g, leader, groups.ErrSuperseded)
 		return false
 	}
-	err := g.Prove(ctx, b, 0, s.engine.cfg.Clock.Now())
+	err := g.Prove(ctx, leader, 0, s.engine.cfg.Clock.Now())
 	if err != nil {
-		s.unwitnessed(g, b, err)
+		s.logUnwitnessed(g, leader, err)
 	}
-	return err == nil && !g.Deposing(b.Primary)
+	return err == nil && !g.Deposing(leader.Primary)
 }
 
-func (s *Session) unwitnessed(g *groups.Group, b leadership.Belief, err error) {
+func (s *Session) logUnwitnessed(g *groups.Group, leader leadership.Belief, err error) {
 	s.engine.cfg.Log.Info("commit-unwitnessed", zap.String("service", g.Service),
-		zap.String("primary", string(b.Primary)), zap.Uint64("term", uint64(b.Term)), zap.Error(err))
+		zap.String("primary", string(leader.Primary)), zap.Uint64("term", uint64(leader.Term)), zap.Error(err))
 }
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -19,7 +19,7 @@
 type Config struct {
 	Catalog *catalog.Holder
 	Groups  *groups.Registry
-	// Runner carries statements to targets.
+	// Runner runs statements at targets.
 	Runner  dispatch.Runner
 	Placing *placing.Board
 	Clock   clock.Clock
@@ -27,16 +27,17 @@
 	Metrics *Metrics
 	// Zone is this VM's availability zone.
 	Zone string
-	// Limiter bounds what workspaces may ask for.
+	// Limiter bounds the operations of workspaces.
 	Limiter Limiter
 }
 
 // Limiter bounds the operations of workspaces over the whole fleet. It is safe for
 // concurrent use.
 type Limiter interface {
-	// Take lets one operation through, or says when to come back.
-	Take(ctx context.Context, w *catalog.Workspace) (comeBack time.Duration, ok bool)
-	// Return gives back what was taken for an operation that has not run.
+	// Take takes one operation from the workspace's limit. If the limit is exhausted, it returns
+	// false and a retry-after.
+	Take(ctx context.Context, w *catalog.Workspace) (retryAfter time.Duration, ok bool)
+	// Return returns what was taken for an operation that has not run.
 	Return(w *catalog.Workspace)
 }
 
@@ -48,19 +49,19 @@
 // New returns an Engine.
 func New(cfg Config) *Engine { return &Engine{cfg: cfg} }
 
-// unconfigured is when a consumer should return to a VM that has no configuration
-// yet: about the time in which it tries the store again.
-const unconfigured = 500 * time.Millisecond
+// unconfiguredRetryAfter is the retry-after of a VM that has no configuration yet: about the
+// interval at which it retries the store.
+const unconfiguredRetryAfter = 500 * time.Millisecond
 
-// Open returns a session, or why there is none.
+// Open returns a session, or an answer that refuses it.
 //
-// Failure guarded against: a VM that has just started knows no route, and tells
-// consumers that their database does not exist. They take that for final. It holds
-// because only a configuration can say what there is not.
+// Failure guarded against: a VM that has just started has no routes and answers that a database
+// does not exist, which consumers treat as final. Only a VM with a configuration can give that
+// answer; without one, the session is refused as busy.
 func (e *Engine) Open(database string, key catalog.KeyDigest) (*Session, *statement.Answer) {
 	c := e.cfg.Catalog.Load()
 	if c.Config == nil {
-		return nil, refuse(statement.Busy, unconfigured, "come back: this VM has no configuration yet", statement.Idle)
+		return nil, refuse(statement.Busy, unconfiguredRetryAfter, "come back: this VM has no configuration yet", statement.Idle)
 	}
 	s := &Session{engine: e, database: database, key: key}
 	if _, _, refused := s.lookUp(); refused != nil {
@@ -69,12 +70,11 @@
 	return s, nil
 }
 
-// near reports whether a target is in this VM's availability zone.
-func (e *Engine) near(t *catalog.Target) bool { return t.Zone == e.cfg.Zone }
+// sameZone reports whether a target is in this VM's availability zone.
+func (e *Engine) sameZone(t *catalog.Target) bool { return t.Zone == e.cfg.Zone }
 
-// blame records that a target did not answer, unless a gateway on the way to it
-// is to blame.
-func (e *Engine) blame(id target.ID, lost *dispatch.LostError) {
+// recordFailure records that a target did not answer, unless the answer was lost at a gateway.
+func (e *Engine) recordFailure(id target.ID, lost *dispatch.LostError) {
 	if lost.Gateway == "" {
 		e.cfg.Placing.Failed(id, e.cfg.Clock.Now())
 	}
--- a/engine/labels.go
+++ b/engine/labels.go
@@ -9,37 +9,38 @@
 )
 
 const (
-	// labelled is how many workspaces have a label of their own in metrics: those with the
-	// highest limits. The others are counted together, so that metrics do not grow with
-	// the number of workspaces.
-	labelled = 8
-	// otherWorkspaces is the label of all others.
+	// maxLabels is the number of workspaces that have their own label in metrics: those with the
+	// highest limits. The others are counted together, so that metrics do not grow with the number
+	// of workspaces.
+	maxLabels = 8
+	// otherWorkspaces is the label of all other workspaces.
 	otherWorkspaces = "other"
 )
 
-// labels are those of the workspaces of one configuration.
+// labels holds the workspaces of a configuration that have their own label.
 type labels struct {
 	config *catalog.Config
-	own    map[string]bool
+	named  map[string]bool
 }
 
-// labeller finds the labels of workspaces. It is safe for concurrent use.
+// labeller maps workspaces to their labels. It is safe for concurrent use.
 type labeller struct{ current atomic.Pointer[labels] }
 
-// of is a workspace's label by the configuration in force.
-func (l *labeller) of(c *catalog.Config, workspace string) string {
-	now := l.current.Load()
-	if now == nil || now.config != c {
-		now = &labels{config: c, own: largest(c.Workspaces)}
-		l.current.Store(now)
+// label returns a workspace's label in a configuration.
+func (l *labeller) label(c *catalog.Config, workspace string) string {
+	current := l.current.Load()
+	if current == nil || current.config != c {
+		current = &labels{config: c, named: largest(c.Workspaces)}
+		l.current.Store(current)
 	}
-	if now.own[workspace] {
+	if current.named[workspace] {
 		return workspace
 	}
 	return otherWorkspaces
 }
 
-// largest are the workspaces with the highest limits; none has a higher one.
+// largest returns the maxLabels workspaces with the highest limits. An unlimited workspace ranks
+// above any limit.
 func largest(all map[string]*catalog.Workspace) map[string]bool {
 	sorted := make([]*catalog.Workspace, 0, len(all))
 	for _, w := range all {
@@ -55,8 +56,8 @@
 			return cmp.Or(cmp.Compare(b.Rate, a.Rate), cmp.Compare(a.Name, b.Name))
 		}
 	})
-	out := make(map[string]bool, labelled)
-	for _, w := range sorted[:min(labelled, len(sorted))] {
+	out := make(map[string]bool, maxLabels)
+	for _, w := range sorted[:min(maxLabels, len(sorted))] {
 		out[w.Name] = true
 	}
 	return out
--- a/engine/labels_test.go
+++ b/engine/labels_test.go
@@ -9,7 +9,7 @@
 	"endivemoor.example/endivemoor/catalog"
 )
 
-// Guards against: metrics that grow with the number of workspaces.
+// Failure guarded against: the number of time series grows with the number of workspaces.
 func TestFewWorkspacesHaveLabels(t *testing.T) {
 	c := &catalog.Config{Workspaces: make(map[string]*catalog.Workspace)}
 	for i := range 10_000 {
@@ -20,11 +20,11 @@
 	var l labeller
 	seen := make(map[string]bool)
 	for name := range c.Workspaces {
-		seen[l.of(c, name)] = true
+		seen[l.label(c, name)] = true
 	}
-	require.Len(t, seen, labelled+1)
-	require.Equal(t, "w9999", l.of(c, "w9999"))
-	require.Equal(t, "free", l.of(c, "free"))
-	require.Equal(t, otherWorkspaces, l.of(c, "w3"))
-	require.Equal(t, "w3", l.of(&catalog.Config{Workspaces: map[string]*catalog.Workspace{"w3": {Name: "w3"}}}, "w3"))
+	require.Len(t, seen, maxLabels+1)
+	require.Equal(t, "w9999", l.label(c, "w9999"))
+	require.Equal(t, "free", l.label(c, "free"))
+	require.Equal(t, otherWorkspaces, l.label(c, "w3"))
+	require.Equal(t, "w3", l.label(&catalog.Config{Workspaces: map[string]*catalog.Workspace{"w3": {Name: "w3"}}}, "w3"))
 }
--- a/engine/metrics.go
+++ b/engine/metrics.go
@@ -22,11 +22,11 @@
 	served, failed, atReplicas, atPrimary atomic.Int64
 }
 
-// Totals are counts since the start, for the log.
+// Totals holds the counts since the start, for the log.
 type Totals struct {
-	// Served and Failed are operations by their end.
+	// Served and Failed count operations by result.
 	Served, Failed int64
-	// AtReplicas and AtPrimary are reads that accept an age, by who served them.
+	// AtReplicas and AtPrimary count bounded-staleness reads by the role of the target.
 	AtReplicas, AtPrimary int64
 }
 
@@ -35,8 +35,7 @@
 	return Totals{Served: m.served.Load(), Failed: m.failed.Load(), AtReplicas: m.atReplicas.Load(), AtPrimary: m.atPrimary.Load()}
 }
 
-// latencyBuckets in seconds, around the latency objectives of 0.15, 0.25 and
-// 0.5 s.
+// latencyBuckets are in seconds, around the latency objectives of 0.15, 0.25 and 0.5 s.
 var latencyBuckets = []float64{.005, .01, .025, .05, .1, .15, .25, .5, 1, 2}
 
 // NewMetrics registers the metrics.
@@ -79,21 +78,21 @@
 	m.latency.WithLabelValues(freshness, access).Observe(now.Sub(w.arrived).Seconds())
 }
 
-// limited counts an operation beyond its workspace's limit.
-func (m *Metrics) limited() {
+// countLimited counts an operation that was refused because its workspace was at its limit.
+func (m *Metrics) countLimited() {
 	if m != nil {
 		m.refusals.Inc()
 	}
 }
 
-// ofWorkspace counts an operation of a workspace.
-func (m *Metrics) ofWorkspace(c *catalog.Config, workspace string, code statement.Code) {
+// countWorkspace counts an operation of a workspace.
+func (m *Metrics) countWorkspace(c *catalog.Config, workspace string, code statement.Code) {
 	if m != nil && workspace != "" {
-		m.workspaces.WithLabelValues(m.labels.of(c, workspace), code.String()).Inc()
+		m.workspaces.WithLabelValues(m.labels.label(c, workspace), code.String()).Inc()
 	}
 }
 
-func (m *Metrics) placed(atPrimary bool) {
+func (m *Metrics) countRead(atPrimary bool) {
 	if m == nil {
 		return
 	}
--- a/engine/place.go
+++ b/engine/place.go
@@ -6,7 +6,7 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// place chooses the target of a read among those not tried yet; once all were,
+// place chooses the target of a read among those that have not been tried yet; once all have been,
 // among all. The second result is set if there is no other choice.
 func (s *Session) place(g *groups.Group, tried map[target.ID]bool) (target.ID, bool) {
 	cat := s.engine.cfg.Catalog.Load()
@@ -18,7 +18,7 @@
 		}
 		load := s.engine.cfg.Runner.Load(t.ID)
 		candidates = append(candidates, placing.Candidate{
-			ID: t.ID, Near: s.engine.near(t), Primary: t.ID == primary,
+			ID: t.ID, Near: s.engine.sameZone(t), Primary: t.ID == primary,
 			Down: load.Down, Waiting: load.InUse + load.Queued,
 		})
 	}
@@ -26,9 +26,9 @@
 		clear(tried)
 		return s.place(g, tried)
 	}
-	i, alone := s.engine.cfg.Placing.Choose(s.engine.cfg.Clock.Now(), candidates)
+	i, only := s.engine.cfg.Placing.Choose(s.engine.cfg.Clock.Now(), candidates)
 	if i < 0 {
 		return "", true
 	}
-	return candidates[i].ID, alone
+	return candidates[i].ID, only
 }
--- a/engine/session.go
+++ b/engine/session.go
@@ -13,28 +13,26 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// Session is one consumer's. It is for one goroutine.
+// Session is the session of one consumer. It is for one goroutine.
 type Session struct {
 	engine   *Engine
 	database string
 	key      catalog.KeyDigest
-	// workspace is whose its last operation was; empty if nobody's.
+	// workspace is the workspace of the last operation; empty if none.
 	workspace string
 	values    map[string]string
 	prepared  map[string]*lane.Prepared
-	// mark is the end of the log after this session's last own commit, in the
-	// service that markOf names.
-	mark   timeline.Position
-	markOf string
-	state  statement.State
-	tx     *transaction
+	// ownCommit is the end of the log after this session's last commit, in ownCommitService.
+	ownCommit        timeline.Position
+	ownCommitService string
+	state            statement.State
+	tx               *transaction
 }
 
-// State is where the session stands.
+// State returns the session's transaction state.
 func (s *Session) State() statement.State { return s.state }
 
-// IdleTimeout is how long the session may wait for its next statement; zero is
-// for ever.
+// IdleTimeout returns how long the session may wait for its next statement; zero is unlimited.
 func (s *Session) IdleTimeout() time.Duration {
 	if s.state != statement.InTransaction {
 		return 0
@@ -45,8 +43,8 @@
 	return 0
 }
 
-// Handle serves one statement and returns its answer, which is never nil. Each
-// failure is logged under the request's id.
+// Handle serves one statement and returns its answer, which is never nil. It logs each failure with
+// the request's id.
 func (s *Session) Handle(ctx context.Context, st *statement.Statement) *statement.Answer {
 	arrived := s.engine.cfg.Clock.Now()
 	a := s.handle(ctx, st)
@@ -82,8 +80,8 @@
 	}
 }
 
-// handleFailed serves a session whose transaction has failed: only its end is
-// taken, and it keeps nothing.
+// handleFailed serves a session whose transaction has failed: it accepts only a rollback or commit,
+// and nothing of the transaction is committed.
 func (s *Session) handleFailed(st *statement.Statement) *statement.Answer {
 	switch st.Verb {
 	case statement.Rollback:
@@ -121,7 +119,7 @@
 	return statement.Success(s.state)
 }
 
-// run serves a read or a write, within a transaction or alone.
+// run serves a read or a write, within a transaction or outside of one.
 func (s *Session) run(ctx context.Context, st *statement.Statement) *statement.Answer {
 	w := &work{st: st, writes: st.Verb == statement.Write, arrived: s.engine.cfg.Clock.Now()}
 	if st.Verb == statement.Execute {
@@ -139,15 +137,15 @@
 		return refused
 	}
 	w.route, w.caller = route, caller
-	a := s.runAlone(ctx, w)
-	s.explain(w, a)
-	s.accountFor(w, a)
+	a := s.runSingle(ctx, w)
+	s.logLateOrFailed(w, a)
+	s.countWorkspace(w, a)
 	s.engine.cfg.Metrics.done(route, w, a, s.engine.cfg.Clock.Now())
 	return a
 }
 
-// failStatement answers a statement that failed here: within a transaction the
-// transaction fails with it.
+// failStatement returns the answer to a statement that the engine itself refused. If a transaction
+// is open, it fails too.
 func (s *Session) failStatement(a *statement.Answer) *statement.Answer {
 	if s.state == statement.InTransaction {
 		s.abandon()
@@ -156,26 +154,26 @@
 	return a
 }
 
-// floor returns the position that a read's log must hold; false if there is no
-// evidence for it, also not after asking.
+// floor returns the position that the log must have reached for a read on the route; false if there
+// is no evidence for it, even after a refresh.
 func (s *Session) floor(ctx context.Context, g *groups.Group, route *catalog.Route) (timeline.Position, bool) {
 	p, ok := g.Freshness.Floor(s.engine.cfg.Clock.Now(), route.MaxAge)
 	if !ok {
 		g.Refresh(ctx, route.MaxAge)
 		p, ok = g.Freshness.Floor(s.engine.cfg.Clock.Now(), route.MaxAge)
 	}
-	if ok && route.Freshness == catalog.Own && s.markOf == route.Service && p.Less(s.mark) {
-		p = s.mark
+	if ok && route.Freshness == catalog.Own && s.ownCommitService == route.Service && p.Less(s.ownCommit) {
+		p = s.ownCommit
 	}
 	return p, ok
 }
 
-// remember notes where the log stood after the session's own commit.
-func (s *Session) remember(service string, p timeline.Position) {
+// recordOwnCommit records the end of the log after the session's own commit.
+func (s *Session) recordOwnCommit(service string, p timeline.Position) {
 	if p.IsZero() {
 		return
 	}
-	if s.markOf != service || s.mark.Less(p) {
-		s.mark, s.markOf = p, service
+	if s.ownCommitService != service || s.ownCommit.Less(p) {
+		s.ownCommit, s.ownCommitService = p, service
 	}
 }
--- a/engine/single.go
+++ b/engine/single.go
@@ -17,83 +17,84 @@
 )
 
 const (
-	// pauseBusy is the wait before a statement that a target had no room for
-	// is sent again: about the time in which one of its slots becomes free.
+	// pauseBusy is the pause before a statement that a busy target refused is sent again: about the
+	// time in which one of the target's slots becomes free.
 	pauseBusy = 15 * time.Millisecond
-	// maxPauses bounds the growth of that wait with the tries.
+	// maxPauses bounds the growth of the pause: it is pauseBusy times the number of tries, up to
+	// maxPauses.
 	maxPauses = 4
-	// triesAtOnce is how many targets a read is tried at without a wait: all
-	// three of a service.
+	// triesAtOnce is the number of targets at which a read is tried without a pause: all three of a
+	// service.
 	triesAtOnce = 3
-	// maxTries bounds the targets and times that one statement is tried.
+	// maxTries bounds the tries of a read that the target reports as failed.
 	maxTries = 6
-	// writePatience is how long a write may take before its answer is taken for
-	// lost: its work, a full queue, and the receipt of a replica. Waiting longer
-	// tells the consumer nothing, and holds one of the primary's connections.
-	writePatience = 650 * time.Millisecond
-	// comeBack is when a consumer that was refused should return, if nothing
-	// better is known: about the time that a change of primary takes.
-	comeBack = 250 * time.Millisecond
-	// minComeBack is the least such time: the work of a statement or two.
-	minComeBack = 30 * time.Millisecond
+	// writeTimeout is how long a write may take before its answer counts as lost: its own time, a
+	// full queue, and the acknowledgement of a replica. A longer wait gives the consumer no more
+	// information and holds one of the primary's connections.
+	writeTimeout = 650 * time.Millisecond
+	// defaultRetryAfter is the retry-after of a refusal without a better estimate: about the time
+	// that a change of primary takes.
+	defaultRetryAfter = 250 * time.Millisecond
+	// minRetryAfter is the shortest retry-after: the time of one or two statements.
+	minRetryAfter = 30 * time.Millisecond
 )
 
-// runAlone serves a statement outside of a transaction.
-func (s *Session) runAlone(ctx context.Context, w *work) *statement.Answer {
+// runSingle serves a statement outside of a transaction.
+func (s *Session) runSingle(ctx context.Context, w *work) *statement.Answer {
 	g := s.engine.cfg.Groups.Use(w.route.Service)
 	ctx, cancel := context.WithTimeout(ctx, deadline(w.route, w.arrived).Sub(s.engine.cfg.Clock.Now()))
 	defer cancel()
 	if refused := s.charge(ctx, w); refused != nil {
 		return refused
 	}
-	a := s.serveAlone(ctx, g, w)
+	a := s.serveSingle(ctx, g, w)
 	if a.Code == statement.Busy && !w.ran {
 		s.uncharge(w)
 	}
 	return a
 }
 
-func (s *Session) serveAlone(ctx context.Context, g *groups.Group, w *work) *statement.Answer {
+func (s *Session) serveSingle(ctx context.Context, g *groups.Group, w *work) *statement.Answer {
 	switch {
 	case w.writes:
-		return s.writeAlone(ctx, g, w)
+		return s.writeSingle(ctx, g, w)
 	case w.route.Freshness == catalog.Exact:
 		return s.readExact(ctx, g, w)
 	default:
-		return s.readAged(ctx, g, w)
+		return s.readBounded(ctx, g, w)
 	}
 }
 
-// writeAlone sends a write to the primary. It is sent again only while it
-// surely has not run.
-func (s *Session) writeAlone(ctx context.Context, g *groups.Group, w *work) *statement.Answer {
+// writeSingle sends a write to the primary. It sends it again only while it is certain that the
+// write has not run.
+func (s *Session) writeSingle(ctx context.Context, g *groups.Group, w *work) *statement.Answer {
 	if refused := s.admit(g, w); refused != nil {
 		return refused
 	}
 	for {
-		b, err := s.primary(ctx, g, w)
+		leader, err := s.primary(ctx, g, w)
 		if err != nil {
-			s.unserved(g)
+			s.recordUnserved(g)
 			return s.giveUp(w, statement.Busy, "no primary")
 		}
-		a, v := s.try(ctx, b.Primary, w, timeline.Position{}, limits{queue: left(ctx), answer: writePatience})
-		s.outage(g, v)
-		switch v {
+		a, result := s.try(ctx, leader.Primary, w, timeline.Position{}, limits{queue: timeLeft(ctx), answer: writeTimeout})
+		s.recordOutage(g, result)
+		switch result {
 		case done:
 			if a.Code != statement.OK {
 				return a
 			}
-			if !s.stillLeads(ctx, g, b) {
-				return s.inDoubt(ctx, w, b.Primary)
+			if !s.stillLeads(ctx, g, leader) {
+				return s.inDoubt(ctx, w, leader.Primary)
 			}
 			g.Breaker.Served()
-			s.remember(w.route.Service, a.Position)
+			s.recordOwnCommit(w.route.Service, a.Position)
 			return a
 		case lostAnswer:
-			return s.inDoubt(ctx, w, b.Primary)
-		case full:
+			return s.inDoubt(ctx, w, leader.Primary)
+		case saturated:
 			return s.giveUp(w, statement.Busy, "the primary has no time")
-		case unsent, again:
+		case unsent, retryable:
 			if !s.pause(ctx, w) {
 				return s.giveUp(w, statement.Busy, "the primary has no room")
 			}
@@ -101,7 +102,7 @@
 	}
 }
 
-// inDoubt is the answer to a write whose own answer was lost.
+// inDoubt returns the answer to a write whose outcome is unknown.
 func (s *Session) inDoubt(ctx context.Context, w *work, id target.ID) *statement.Answer {
 	code := statement.InDoubt
 	if ctx.Err() != nil {
@@ -112,76 +113,76 @@
 	return statement.Failure(code, "the write may have been done", statement.Idle)
 }
 
-// readExact reads at the primary, and proves meanwhile that it still leads.
+// readExact reads at the primary and concurrently proves that it still leads.
 //
-// Failure guarded against: while nobody leads, every read that waits would ask the
-// replicas and the store for a proof each time that it tries a dead primary. A primary
-// that fails to answer is therefore read from first, and proven if it has answered.
+// Failure guarded against: while there is no primary, every waiting read would query the replicas
+// and the store for a proof each time that it tries a dead primary. If the primary has failed to
+// answer, the proof is therefore started only after it has answered the read.
 func (s *Session) readExact(ctx context.Context, g *groups.Group, w *work) *statement.Answer {
 	if refused := s.admit(g, w); refused != nil {
 		return refused
 	}
 	for {
-		b, err := s.primary(ctx, g, w)
+		leader, err := s.primary(ctx, g, w)
 		if err != nil {
-			s.unserved(g)
+			s.recordUnserved(g)
 			return s.giveUp(w, statement.Busy, "no primary")
 		}
 		var proof <-chan bool
-		if g.Health.Failing(b.Primary) == 0 && !s.engine.cfg.Runner.Proves(b.Primary) {
-			proof = s.prove(ctx, g, b, w.arrived)
+		if g.Health.Failing(leader.Primary) == 0 && !s.engine.cfg.Runner.Proves(leader.Primary) {
+			proof = s.prove(ctx, g, leader, w.arrived)
 		}
-		stood := g.Freshness.Stood(b.Term, b.Primary)
-		a, v := s.try(ctx, b.Primary, w, stood, limits{queue: left(ctx), answer: s.patience(b.Primary)})
-		if v == full {
+		position := g.Freshness.Stood(leader.Term, leader.Primary)
+		a, result := s.try(ctx, leader.Primary, w, position, limits{queue: timeLeft(ctx), answer: s.tryTimeout(leader.Primary)})
+		if result == saturated {
 			return s.giveUp(w, statement.Busy, "the primary has no time")
 		}
-		if v == done && a.Code != statement.OK {
+		if result == done && a.Code != statement.OK {
 			return a
 		}
-		if v == done && proof == nil {
-			proof = s.prove(ctx, g, b, w.arrived)
+		if result == done && proof == nil {
+			proof = s.prove(ctx, g, leader, w.arrived)
 		}
-		if v == done && s.proven(w, proof) {
+		if result == done && s.proven(w, proof) {
 			g.Breaker.Served()
 			return a
 		}
-		if v == done {
-			s.unserved(g)
+		if result == done {
+			s.recordUnserved(g)
 		}
-		s.outage(g, v)
+		s.recordOutage(g, result)
 		if !s.pause(ctx, w) {
 			return s.giveUp(w, statement.Busy, "no proven answer in time")
 		}
 	}
 }
 
-// primary waits until it is known who leads.
+// primary waits until the service has a known primary.
 func (s *Session) primary(ctx context.Context, g *groups.Group, w *work) (leadership.Belief, error) {
 	begun := s.engine.cfg.Clock.Now()
-	b, err := g.Primary(ctx)
-	w.spend(phasePrimary, begun, s.engine.cfg.Clock.Now())
-	return b, err
+	leader, err := g.Primary(ctx)
+	w.recordPhase(phasePrimary, begun, s.engine.cfg.Clock.Now())
+	return leader, err
 }
 
-// proven waits for a proof.
+// proven waits for a proof and reports whether it succeeded.
 func (s *Session) proven(w *work, proof <-chan bool) bool {
 	begun := s.engine.cfg.Clock.Now()
 	ok := <-proof
-	w.spend(phaseProof, begun, s.engine.cfg.Clock.Now())
+	w.recordPhase(phaseProof, begun, s.engine.cfg.Clock.Now())
 	return ok
 }
 
-// prove asks a replica whether the primary's term is still the latest. The
-// result is delivered on the channel.
-func (s *Session) prove(ctx context.Context, g *groups.Group, b leadership.Belief, arrived clock.Time) <-chan bool {
+// prove queries a replica, in the background, whether the primary's term is still the latest. The
+// result is sent on the channel.
+func (s *Session) prove(ctx context.Context, g *groups.Group, leader leadership.Belief, arrived clock.Time) <-chan bool {
 	out := make(chan bool, 1)
-	if g.Permitted(b, arrived) {
+	if g.Permitted(leader, arrived) {
 		out <- true
 		return out
 	}
 	go func() {
-		err := g.Prove(ctx, b, int(arrived)&1, arrived)
+		err := g.Prove(ctx, leader, int(arrived)&1, arrived)
 		if err != nil {
 			s.engine.cfg.Log.Debug("not-proven", zap.String("service", g.Service), zap.Error(err))
 		}
@@ -190,32 +191,32 @@
 	return out
 }
 
-// readAged reads at a target whose log holds what the accepted age asks for.
-func (s *Session) readAged(ctx context.Context, g *groups.Group, w *work) *statement.Answer {
+// readBounded reads at a target whose log has reached the position that the accepted age requires.
+func (s *Session) readBounded(ctx context.Context, g *groups.Group, w *work) *statement.Answer {
 	after, ok := s.floor(ctx, g, w.route)
 	if !ok {
 		return s.readExact(ctx, g, w)
 	}
 	tried := make(map[target.ID]bool, 3)
 	for {
-		id, alone := s.place(g, tried)
+		id, only := s.place(g, tried)
 		if id == "" {
 			return s.giveUp(w, statement.Busy, "no target")
 		}
-		most := limits{queue: left(ctx), answer: s.patience(id)}
-		if !alone {
-			most.queue = min(most.queue, most.answer)
+		bounds := limits{queue: timeLeft(ctx), answer: s.tryTimeout(id)}
+		if !only {
+			bounds.queue = min(bounds.queue, bounds.answer)
 		}
-		a, v := s.try(ctx, id, w, after, most)
-		if alone {
-			s.noteCrowd(g, w, id, v)
+		a, result := s.try(ctx, id, w, after, bounds)
+		if only {
+			s.recordLateRead(g, w, id, result)
 		}
-		if v == done {
-			s.engine.cfg.Metrics.placed(g.Leadership.Believed().Primary == id)
+		if result == done {
+			s.engine.cfg.Metrics.countRead(g.Leadership.Believed().Primary == id)
 			return a
 		}
 		tried[id] = true
-		if w.full >= triesAtOnce || (alone && v == full) {
+		if w.saturated >= triesAtOnce || (only && result == saturated) {
 			return s.giveUp(w, statement.Busy, "no target has time")
 		}
 		if !s.pause(ctx, w) {
@@ -224,22 +225,23 @@
 	}
 }
 
-// noteCrowd tells of a read that only the primary could serve, and that came too late.
-func (s *Session) noteCrowd(g *groups.Group, w *work, id target.ID, v verdict) {
+// recordLateRead records a read that only the primary could serve, and that it refused as saturated
+// or served too late.
+func (s *Session) recordLateRead(g *groups.Group, w *work, id target.ID, result tryResult) {
 	now := s.engine.cfg.Clock.Now()
-	late := v == full || now.Sub(w.arrived) > w.route.Objective
+	late := result == saturated || now.Sub(w.arrived) > w.route.Objective
 	if late && g.Leadership.Believed().Primary == id {
 		g.Crowd.Late(now)
 	}
 }
 
-// giveUp is the final answer to a statement that has not run.
+// giveUp returns the final answer to a statement that has not run.
 func (s *Session) giveUp(w *work, code statement.Code, why string) *statement.Answer {
-	after := comeBack
-	if w.full > 0 {
-		after = max(w.comeBack, minComeBack)
+	after := defaultRetryAfter
+	if w.saturated > 0 {
+		after = max(w.retryAfter, minRetryAfter)
 	}
-	if w.full > 0 && w.refusal != nil {
+	if w.saturated > 0 && w.refusal != nil {
 		why += ": " + w.refusal.Error()
 	}
 	return refuse(code, after, why+", tries "+strconv.Itoa(w.tries), statement.Idle)
--- a/engine/transaction.go
+++ b/engine/transaction.go
@@ -20,38 +20,38 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// transaction is a session's open one.
+// transaction is a session's open transaction.
 type transaction struct {
 	route    *catalog.Route
 	caller   callers.Caller
 	group    *groups.Group
 	readOnly bool
-	// began is when its first byte arrived: its reads must see what had been
-	// acknowledged by then.
+	// began is when its first byte arrived: its reads must see everything that had been acknowledged
+	// by then.
 	began clock.Time
-	// open is nil until the first statement.
+	// open is nil until the first statement is sent.
 	open   dispatch.Transaction
-	belief leadership.Belief
-	// spent is how long its statements have taken so far. Pauses between them are
-	// the consumer's own and do not count against the objective.
+	leader leadership.Belief
+	// spent is how long its statements have taken so far. The consumer's pauses between them do not
+	// count against the objective.
 	spent time.Duration
-	// wrote is set once a write was sent.
+	// wrote is set once a write has been sent.
 	wrote bool
-	// unproven is set while it has to be proven that the primary leads.
+	// unproven is set if opening the transaction must start a proof that the primary leads.
 	unproven bool
-	// proof delivers whether the primary led after the transaction began. It
-	// is nil for routes that need no proof, and once it was taken.
+	// proof delivers whether the primary led after the transaction began. It is nil for routes that
+	// need no proof, and once the result has been received.
 	proof <-chan bool
 }
 
-// order says how urgent a statement of the transaction is: the objective is for
-// all of them together.
-func (tx *transaction) order(w *work) lane.Order {
-	return order(tx.route, tx.caller.Name(), w.arrived.Add(-tx.spent))
+// acquireOptions returns the queue priority of a statement of the transaction. The objective
+// applies to all its statements together.
+func (tx *transaction) acquireOptions(w *work) lane.Order {
+	return acquireOptions(tx.route, tx.caller.Name(), w.arrived.Add(-tx.spent))
 }
 
-// begin opens a transaction here; the target hears of it with the first
-// statement. The route is taken now and holds until the transaction ends.
+// begin opens a transaction in the session; it is opened at a target with the first statement. The
+// route is looked up now and applies until the transaction ends.
 func (s *Session) begin(st *statement.Statement) *statement.Answer {
 	if s.state == statement.InTransaction {
 		return s.failStatement(statement.Failure(statement.Malformed, "a transaction is open already", s.state))
@@ -68,15 +68,15 @@
 	return statement.Success(s.state)
 }
 
-// rollback ends a transaction. The consumer need not wait for the target: the
-// connection is given back once the target has answered.
+// rollback ends a transaction without waiting for the target. The connection is released once the
+// target has answered.
 func (s *Session) rollback() *statement.Answer {
 	s.abandon()
 	s.state = statement.Idle
 	return statement.Success(s.state)
 }
 
-// abandon leaves the open transaction, which keeps nothing.
+// abandon ends the open transaction without a commit.
 func (s *Session) abandon() {
 	if s.state == statement.InTransaction {
 		s.state = statement.FailedTransaction
@@ -94,8 +94,8 @@
 // Close ends the session; an open transaction is rolled back.
 func (s *Session) Close() { s.abandon() }
 
-// Expire ends a transaction that was idle for too long. The consumer learns it
-// with its next statement.
+// Expire ends a transaction that was idle for too long. The consumer's next statement is answered
+// with Expired.
 func (s *Session) Expire() {
 	if s.tx != nil {
 		s.engine.cfg.Log.Info("transaction-idle", zap.String("route", s.tx.route.Name), zap.Bool("wrote", s.tx.wrote))
@@ -103,7 +103,7 @@
 	s.abandon()
 }
 
-// Expired is the answer to the first statement after Expire.
+// Expired returns the answer to the first statement after Expire.
 func (s *Session) Expired() *statement.Answer {
 	return statement.Failure(statement.Aborted, "the transaction was idle for too long and is rolled back", s.state)
 }
@@ -112,19 +112,19 @@
 func (s *Session) runInTransaction(ctx context.Context, w *work) *statement.Answer {
 	tx := s.tx
 	w.route, w.caller = tx.route, tx.caller
-	if !s.keeps(tx) {
+	if !s.mayContinue(tx) {
 		return s.failStatement(unauthorized(s.state))
 	}
 	ctx, cancel := context.WithTimeout(ctx, deadline(w.route, w.arrived).Sub(s.engine.cfg.Clock.Now()))
 	defer cancel()
 	if tx.open == nil {
-		if failure := s.openCharged(ctx, tx, w); failure != nil {
-			s.explain(w, failure)
+		if failure := s.chargeAndOpen(ctx, tx, w); failure != nil {
+			s.logLateOrFailed(w, failure)
 			return s.failStatement(failure)
 		}
 	}
 	a := s.send(ctx, tx, w)
-	s.explain(w, a)
+	s.logLateOrFailed(w, a)
 	tx.spent += s.engine.cfg.Clock.Now().Sub(w.arrived)
 	return a
 }
@@ -135,20 +135,20 @@
 	for {
 		w.tries++
 		begun := s.engine.cfg.Clock.Now()
-		r, err := tx.open.Run(ctx, tx.order(w), s.job(w, timeline.Position{}, false, s.patience(tx.open.Target())))
-		s.account(w, begun, r, err)
+		r, err := tx.open.Run(ctx, tx.acquireOptions(w), s.job(w, timeline.Position{}, false, s.tryTimeout(tx.open.Target())))
+		s.recordPhases(w, begun, r, err)
 		if err != nil {
-			return s.breakOff(tx, w, err)
+			return s.failTransaction(tx, w, err)
 		}
 		if r.Answer.Code == statement.Busy && r.Answer.State == statement.InTransaction && s.pause(ctx, w) {
 			continue
 		}
-		return s.conclude(tx, w, r)
+		return s.finishStatement(tx, w, r)
 	}
 }
 
-// conclude takes over the answer of a transaction's statement.
-func (s *Session) conclude(tx *transaction, w *work, r *dispatch.Result) *statement.Answer {
+// finishStatement processes the target's answer to a statement of the transaction.
+func (s *Session) finishStatement(tx *transaction, w *work, r *dispatch.Result) *statement.Answer {
 	a := r.Answer
 	if a.State != statement.InTransaction || a.Code == statement.Busy {
 		s.abandon()
@@ -161,25 +161,25 @@
 	s.engine.cfg.Placing.Served(tx.open.Target(), s.engine.cfg.Clock.Now(), r.Took)
 	if !w.writes && tx.proof != nil {
 		if !s.proven(w, tx.proof) {
-			s.unserved(tx.group)
-			return s.failStatement(refuse(statement.Aborted, comeBack, "the primary may have been replaced", s.state))
+			s.recordUnserved(tx.group)
+			return s.failStatement(refuse(statement.Aborted, defaultRetryAfter, "the primary may have been replaced", s.state))
 		}
 		tx.proof = nil
 	}
 	return a
 }
 
-// breakOff ends a transaction whose connection failed before its commit was
-// sent. The connection is closed, so that the target rolls back; nothing was
-// kept, and the consumer may repeat all of it.
-func (s *Session) breakOff(tx *transaction, w *work, err error) *statement.Answer {
-	id := s.drop(tx, err)
+// failTransaction ends a transaction whose connection failed before its commit was sent. The
+// connection is closed, so that the target rolls back. Nothing was committed, and the consumer may
+// repeat the whole transaction.
+func (s *Session) failTransaction(tx *transaction, w *work, err error) *statement.Answer {
+	id := s.discardConn(tx, err)
 	s.engine.cfg.Log.Info("transaction-broken", zap.String("request", w.st.ID), zap.String("target", string(id)),
 		zap.Bool("timeout", wait.IsTimeout(err)), zap.Error(err))
 	return s.failStatement(refuse(statement.Aborted, 0, "the target did not answer; the transaction is rolled back", s.state))
 }
 
-// commit ends a transaction and keeps its writes.
+// commit commits the open transaction.
 func (s *Session) commit(ctx context.Context, st *statement.Statement) *statement.Answer {
 	if s.state != statement.InTransaction {
 		return statement.Failure(statement.Malformed, "no transaction is open", s.state)
@@ -188,34 +188,33 @@
 	w := &work{st: st, route: tx.route, caller: tx.caller, arrived: s.engine.cfg.Clock.Now()}
 	ctx, cancel := context.WithTimeout(ctx, deadline(w.route, w.arrived).Sub(w.arrived))
 	defer cancel()
-	if !s.keeps(tx) {
+	if !s.mayContinue(tx) {
 		s.abandon()
 		s.state = statement.Idle
 		return statement.Failure(statement.Aborted, "the caller's key was taken away; the transaction is rolled back", statement.Idle)
 	}
 	if tx.open == nil {
-		if failure := s.openCharged(ctx, tx, w); failure != nil {
+		if failure := s.chargeAndOpen(ctx, tx, w); failure != nil {
 			s.abandon()
 			s.state, failure.State = statement.Idle, statement.Idle
 			return failure
 		}
 	}
 	a := s.sendCommit(ctx, tx, w)
-	s.explain(w, a)
-	s.accountFor(w, a)
+	s.logLateOrFailed(w, a)
+	s.countWorkspace(w, a)
 	s.engine.cfg.Metrics.done(tx.route, &work{arrived: tx.began, writes: tx.wrote, route: tx.route}, a, s.engine.cfg.Clock.Now())
 	return a
 }
 
-// drop leaves a transaction whose connection has failed, and returns where it
-// was open.
-func (s *Session) drop(tx *transaction, err error) target.ID {
+// discardConn discards a transaction's failed connection and returns its target.
+func (s *Session) discardConn(tx *transaction, err error) target.ID {
 	id := tx.open.Target()
 	tx.open.Discard()
 	tx.open = nil
 	var lost *dispatch.LostError
 	if errors.As(err, &lost) {
-		s.engine.blame(id, lost)
+		s.engine.recordFailure(id, lost)
 	}
 	return id
 }
@@ -224,8 +223,8 @@
 	for {
 		w.tries++
 		begun := s.engine.cfg.Clock.Now()
-		r, err := tx.open.Run(ctx, tx.order(w), s.job(w, timeline.Position{}, tx.wrote, writePatience))
-		s.account(w, begun, r, err)
+		r, err := tx.open.Run(ctx, tx.acquireOptions(w), s.job(w, timeline.Position{}, tx.wrote, writeTimeout))
+		s.recordPhases(w, begun, r, err)
 		if err != nil {
 			return s.commitLost(ctx, tx, w, err)
 		}
@@ -233,18 +232,18 @@
 		if a.Code == statement.Busy && a.State == statement.InTransaction && s.pause(ctx, w) {
 			continue
 		}
-		if a.Code == statement.OK && tx.wrote && !s.stillLeads(ctx, tx.group, tx.belief) {
+		if a.Code == statement.OK && tx.wrote && !s.stillLeads(ctx, tx.group, tx.leader) {
 			id := tx.open.Target()
 			s.abandon()
 			s.state = statement.Idle
 			return s.inDoubt(ctx, w, id)
 		}
-		return s.concludeCommit(tx, a)
+		return s.finishCommit(tx, a)
 	}
 }
 
-// concludeCommit takes over the target's answer to a commit.
-func (s *Session) concludeCommit(tx *transaction, a *statement.Answer) *statement.Answer {
+// finishCommit processes the target's answer to a commit.
+func (s *Session) finishCommit(tx *transaction, a *statement.Answer) *statement.Answer {
 	if a.State != statement.Idle {
 		s.abandon()
 		s.state, a.State = statement.Idle, statement.Idle
@@ -252,18 +251,18 @@
 	}
 	if a.Code == statement.OK && tx.wrote {
 		tx.group.Breaker.Served()
-		s.remember(tx.route.Service, a.Position)
+		s.recordOwnCommit(tx.route.Service, a.Position)
 	}
 	tx.open.Release()
 	s.tx, s.state = nil, statement.Idle
 	return a
 }
 
-// commitLost answers a commit that brought no answer. A transaction that wrote
-// nothing keeps nothing either way; nor does one whose commit was not sent, for
-// its connection is closed.
+// commitLost returns the answer to a commit that the target did not answer. Only a transaction that
+// wrote and whose commit was sent is in doubt: one that wrote nothing has nothing to commit, and
+// one whose commit was not sent is rolled back, because its connection is closed.
 func (s *Session) commitLost(ctx context.Context, tx *transaction, w *work, err error) *statement.Answer {
-	id := s.drop(tx, err)
+	id := s.discardConn(tx, err)
 	var lost *dispatch.LostError
 	wrote, sent := tx.wrote, errors.As(err, &lost)
 	s.tx, s.state = nil, statement.Idle
@@ -273,13 +272,13 @@
 	case sent:
 		return refuse(statement.Aborted, 0, "the answer was lost; the transaction wrote nothing", statement.Idle)
 	default:
-		return refuse(statement.Aborted, comeBack, "the commit could not be sent; the transaction is rolled back", statement.Idle)
+		return refuse(statement.Aborted, defaultRetryAfter, "the commit could not be sent; the transaction is rolled back", statement.Idle)
 	}
 }
 
-// openCharged starts the transaction at a target if its caller's workspace is within its
-// limit. A non-nil answer says why it could not: nothing has run.
-func (s *Session) openCharged(ctx context.Context, tx *transaction, w *work) *statement.Answer {
+// chargeAndOpen opens the transaction at a target if the caller's workspace is within its limit. A
+// non-nil answer is a refusal: nothing has run.
+func (s *Session) chargeAndOpen(ctx context.Context, tx *transaction, w *work) *statement.Answer {
 	if refused := s.charge(ctx, w); refused != nil {
 		return refused
 	}
@@ -290,8 +289,7 @@
 	return failure
 }
 
-// open starts the transaction at a target. A non-nil answer says why it could
-// not: nothing has run.
+// open opens the transaction at a target. A non-nil answer is a refusal: nothing has run.
 func (s *Session) open(ctx context.Context, tx *transaction, w *work) *statement.Answer {
 	tried := make(map[target.ID]bool, 3)
 	for {
@@ -304,12 +302,12 @@
 			return s.giveUpOpening(w, err.Error())
 		}
 		if tx.route.Freshness == catalog.Exact {
-			after = tx.group.Freshness.Stood(tx.belief.Term, id)
+			after = tx.group.Freshness.Stood(tx.leader.Term, id)
 		}
 		if s.openAt(ctx, tx, w, id, after) {
 			return nil
 		}
-		if w.full >= triesAtOnce || (w.full > 0 && id == tx.belief.Primary) {
+		if w.saturated >= triesAtOnce || (w.saturated > 0 && id == tx.leader.Primary) {
 			return s.giveUpOpening(w, "no target has time")
 		}
 		tried[id] = true
@@ -325,45 +323,45 @@
 	return a
 }
 
-// placeTransaction chooses the target. Only the primary takes a transaction
-// that may write; exact reads go there too, and what has no evidence of age.
+// placeTransaction chooses the target. A transaction that may write must go to the primary; exact
+// reads, and reads without evidence of their age, go there too.
 func (s *Session) placeTransaction(ctx context.Context, tx *transaction, w *work, tried map[target.ID]bool, proven bool) (target.ID, error) {
 	tx.unproven = false
 	if tx.readOnly && tx.route.Freshness != catalog.Exact && proven {
-		tx.belief = tx.group.Leadership.Believed()
+		tx.leader = tx.group.Leadership.Believed()
 		if id, _ := s.place(tx.group, tried); id != "" {
 			return id, nil
 		}
 	}
 	if !tx.group.Breaker.Admits(s.engine.cfg.Clock.Now()) {
-		return "", errOpen
+		return "", errBreakerOpen
 	}
-	b, err := s.primary(ctx, tx.group, w)
+	leader, err := s.primary(ctx, tx.group, w)
 	if err != nil {
-		s.unserved(tx.group)
+		s.recordUnserved(tx.group)
 		return "", err
 	}
-	tx.belief = b
+	tx.leader = leader
 	tx.unproven = tx.route.Freshness == catalog.Exact || !proven
-	return b.Primary, nil
+	return leader.Primary, nil
 }
 
-// openAt starts the transaction at one target.
+// openAt opens the transaction at one target; false if that failed.
 func (s *Session) openAt(ctx context.Context, tx *transaction, w *work, id target.ID, after timeline.Position) bool {
 	w.tries++
-	claim := dispatch.Claim{Order: tx.order(w), Queue: left(ctx)}
+	claim := dispatch.Claim{Order: tx.acquireOptions(w), Queue: timeLeft(ctx)}
 	opening := &dispatch.Opening{Service: tx.route.Service, Values: s.values, Begin: lane.Begin{ReadOnly: tx.readOnly, After: after}}
 	begun := s.engine.cfg.Clock.Now()
 	open, a, err := s.engine.cfg.Runner.Open(ctx, id, claim, opening)
-	w.spend(phaseQueue, begun, s.engine.cfg.Clock.Now())
+	w.recordPhase(phaseQueue, begun, s.engine.cfg.Clock.Now())
 	switch {
 	case err != nil:
-		s.failed(id, w, err)
+		s.classifyError(id, w, err)
 		return false
 	case open != nil:
 		tx.open = open
 		if tx.unproven {
-			tx.proof = s.prove(ctx, tx.group, tx.belief, tx.began)
+			tx.proof = s.prove(ctx, tx.group, tx.leader, tx.began)
 		}
 		return true
 	case a.Code == statement.Lagging:
--- a/engine/try.go
+++ b/engine/try.go
@@ -16,28 +16,28 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// verdict says what became of one try.
-type verdict uint8
+// tryResult is the result of one try.
+type tryResult uint8
 
 const (
 	// done: the answer is final.
-	done verdict = iota
-	// again: it surely did not run and may be sent again.
-	again
-	// lostAnswer: it was sent, and no whole answer came.
+	done tryResult = iota
+	// retryable: the statement may be sent again, because it has not run or is a read.
+	retryable
+	// lostAnswer: the statement was sent and no complete answer was received.
 	lostAnswer
-	// unsent: no connection could be had.
+	// unsent: no connection was available.
 	unsent
-	// full: the target has more to do than there is time for.
-	full
+	// saturated: the target has too many requests to serve this one in time.
+	saturated
 )
 
-// patience is how long one try at a target may take.
-func (s *Session) patience(id target.ID) time.Duration {
+// tryTimeout returns the time-out of one try at a target.
+func (s *Session) tryTimeout(id target.ID) time.Duration {
 	return s.engine.cfg.Placing.Patience(id, s.engine.cfg.Clock.Now())
 }
 
-// limits bound one try.
+// limits holds the time limits of one try.
 type limits struct {
 	// queue is how long to wait for a connection.
 	queue time.Duration
@@ -46,34 +46,34 @@
 }
 
 // try sends a statement to one target and returns its answer.
-func (s *Session) try(ctx context.Context, id target.ID, w *work, after timeline.Position, most limits) (*statement.Answer, verdict) {
+func (s *Session) try(ctx context.Context, id target.ID, w *work, after timeline.Position, bounds limits) (*statement.Answer, tryResult) {
 	w.tries++
-	claim := dispatch.Claim{Order: order(w.route, w.caller.Name(), w.arrived), Queue: most.queue}
+	claim := dispatch.Claim{Order: acquireOptions(w.route, w.caller.Name(), w.arrived), Queue: bounds.queue}
 	begun := s.engine.cfg.Clock.Now()
-	r, err := s.engine.cfg.Runner.Run(ctx, id, claim, s.job(w, after, w.writes, most.answer))
-	s.account(w, begun, r, err)
+	r, err := s.engine.cfg.Runner.Run(ctx, id, claim, s.job(w, after, w.writes, bounds.answer))
+	s.recordPhases(w, begun, r, err)
 	if err != nil {
-		return nil, s.failed(id, w, err)
+		return nil, s.classifyError(id, w, err)
 	}
-	return r.Answer, s.judge(id, w, r)
+	return r.Answer, s.classify(id, w, r)
 }
 
-// account counts what one try has taken.
-func (s *Session) account(w *work, begun clock.Time, r *dispatch.Result, err error) {
+// recordPhases adds the time of one try to the phases of the statement.
+func (s *Session) recordPhases(w *work, begun clock.Time, r *dispatch.Result, err error) {
 	now := s.engine.cfg.Clock.Now()
 	var lost *dispatch.LostError
 	switch {
 	case err == nil:
-		w.ledger[phaseTarget] += r.Took
-		w.ledger[phaseQueue] += now.Sub(begun) - r.Took
+		w.phaseTimes[phaseTarget] += r.Took
+		w.phaseTimes[phaseQueue] += now.Sub(begun) - r.Took
 	case errors.As(err, &lost):
-		w.spend(phaseLost, begun, now)
+		w.recordPhase(phaseLost, begun, now)
 	default:
-		w.spend(phaseQueue, begun, now)
+		w.recordPhase(phaseQueue, begun, now)
 	}
 }
 
-// job is a statement with the session's state.
+// job returns the statement together with the session's state.
 func (s *Session) job(w *work, after timeline.Position, commits bool, answer time.Duration) *dispatch.Job {
 	return &dispatch.Job{
 		Service: w.route.Service, Statement: w.st, Prepared: w.prepared, Values: s.values,
@@ -81,30 +81,30 @@
 	}
 }
 
-// failed learns from a try that brought no answer, and says what it means.
-func (s *Session) failed(id target.ID, w *work, err error) verdict {
+// classifyError returns the result of a try that failed without an answer, and records the failure.
+func (s *Session) classifyError(id target.ID, w *work, err error) tryResult {
 	e := s.engine
 	var lost *dispatch.LostError
 	if !errors.As(err, &lost) {
 		var u *lane.UnavailableError
 		if errors.As(err, &u) && u.ComeBack > 0 {
-			w.full, w.comeBack, w.refusal = w.full+1, u.ComeBack, u.Cause
-			return full
+			w.saturated, w.retryAfter, w.refusal = w.saturated+1, u.ComeBack, u.Cause
+			return saturated
 		}
-		w.full = 0
+		w.saturated = 0
 		if dispatch.Silent(err) {
 			e.cfg.Placing.Failed(id, e.cfg.Clock.Now())
 		}
 		return unsent
 	}
-	w.full, w.ran = 0, true
-	e.blame(id, lost)
+	w.saturated, w.ran = 0, true
+	e.recordFailure(id, lost)
 	e.cfg.Log.Debug("answer-lost", zap.String("request", w.st.ID), zap.String("target", string(id)), zap.Error(err))
 	return lostAnswer
 }
 
-// judge says whether an answer is final, and learns from it.
-func (s *Session) judge(id target.ID, w *work, r *dispatch.Result) verdict {
+// classify returns the result of a try that was answered, and records the target's latency or lag.
+func (s *Session) classify(id target.ID, w *work, r *dispatch.Result) tryResult {
 	e := s.engine
 	a, now := r.Answer, e.cfg.Clock.Now()
 	w.ran = w.ran || !a.Code.NotRun()
@@ -114,18 +114,18 @@
 		return done
 	case a.Code == statement.Lagging:
 		e.cfg.Placing.Lagged(id, now)
-		return again
+		return retryable
 	case a.Code.NotRun():
-		return again
+		return retryable
 	case a.Code == statement.Failed && !w.writes && w.tries < maxTries:
-		return again
+		return retryable
 	default:
 		return done
 	}
 }
 
-// pause waits a moment before a statement is tried again; false if its time or
-// its tries are used up.
+// pause waits before a statement is tried again; false if its time is over. The first tries of a
+// read do not wait.
 func (s *Session) pause(ctx context.Context, w *work) bool {
 	if ctx.Err() != nil {
 		return false
@@ -135,12 +135,12 @@
 	}
 	begun := s.engine.cfg.Clock.Now()
 	more := wait.For(ctx, pauseBusy*time.Duration(min(w.tries, maxPauses)))
-	w.spend(phasePause, begun, s.engine.cfg.Clock.Now())
+	w.recordPhase(phasePause, begun, s.engine.cfg.Clock.Now())
 	return more
 }
 
-// left is the time until the context's deadline.
-func left(ctx context.Context) time.Duration {
+// timeLeft returns the time until the context's deadline, or minTimeout if there is none.
+func timeLeft(ctx context.Context) time.Duration {
 	d, ok := ctx.Deadline()
 	if !ok {
 		return minTimeout
--- a/engine/work.go
+++ b/engine/work.go
@@ -11,29 +11,29 @@
 	"endivemoor.example/endivemoor/statement"
 )
 
-// minTimeout bounds a statement whose route sets no time-out.
+// minTimeout is the time-out of a statement whose route sets none.
 const minTimeout = 2 * time.Second
 
-// work is one statement on its way.
+// work is a statement that is being served.
 type work struct {
-	st       *statement.Statement
-	prepared *lane.Prepared
-	writes   bool
-	route    *catalog.Route
-	caller   callers.Caller
-	arrived  clock.Time
-	ledger   ledger
-	// ran is set once the statement may have run at a target.
+	st         *statement.Statement
+	prepared   *lane.Prepared
+	writes     bool
+	route      *catalog.Route
+	caller     callers.Caller
+	arrived    clock.Time
+	phaseTimes phaseTimes
+	// ran is set once the statement has been sent and may have run at a target.
 	ran   bool
 	tries int
-	// full counts the targets in a row that had no time for the statement;
-	// comeBack is when the last of them will have, and refusal says why it has not.
-	full     int
-	comeBack time.Duration
-	refusal  error
+	// saturated counts the consecutive tries at saturated targets. retryAfter and refusal are the
+	// retry-after and the reason of the last of them.
+	saturated  int
+	retryAfter time.Duration
+	refusal    error
 }
 
-// deadline is when the statement's time is over.
+// deadline returns the time at which the statement times out.
 func deadline(route *catalog.Route, arrived clock.Time) clock.Time {
 	if route.StatementTimeout <= 0 {
 		return arrived.Add(minTimeout)
@@ -41,13 +41,12 @@
 	return arrived.Add(route.StatementTimeout)
 }
 
-// order says how urgent a statement is to the queue for connections, and whose.
-func order(route *catalog.Route, workspace string, arrived clock.Time) lane.Order {
+// acquireOptions returns a statement's queue priority and workspace.
+func acquireOptions(route *catalog.Route, workspace string, arrived clock.Time) lane.Order {
 	return lane.Order{Due: arrived.Add(route.Objective), Priority: route.Priority, Workspace: workspace}
 }
 
-// refuse is the answer to a statement that has not run, with a time to come
-// back.
+// refuse returns the answer to a statement that has not run, with a retry-after if one is given.
 func refuse(code statement.Code, after time.Duration, text string, state statement.State) *statement.Answer {
 	if after > 0 {
 		text = "retry-after-ms=" + strconv.FormatInt(after.Milliseconds(), 10) + " " + text
