--- a/callers/callers.go
+++ b/callers/callers.go
@@ -1,23 +1,22 @@
-// Package callers decides whose a request is.
+// Package callers identifies the workspace that a request belongs to.
 //
-// A caller proves its workspace by an API key, which the operator gives and takes away
-// with versions of the configuration. What holds is the version that is in force as the
-// request begins: a session that was opened under an earlier one has no rights of its
-// own.
+// A caller authenticates as a workspace by an API key, which the operator grants and revokes in
+// versions of the configuration. The version in force when the request begins applies: a session
+// that was opened under an earlier version keeps no rights from it.
 //
-// The package is pure.
+// Start with Identify. The package does not enforce the limits of workspaces, and has no state.
 package callers
 
 import "endivemoor.example/endivemoor/catalog"
 
-// Caller is whose a request is.
+// Caller is the origin of a request.
 type Caller struct {
-	// Workspace is the holder of the caller's key; nil if callers have no keys, or if a
-	// public route serves one whose key nobody holds.
+	// Workspace is the holder of the caller's key. It is nil if the configuration has no keys, or
+	// if the route is public and no workspace holds the key.
 	Workspace *catalog.Workspace
 }
 
-// Name is the workspace's; empty if there is none.
+// Name returns the workspace's name; empty if there is none.
 func (c Caller) Name() string {
 	if c.Workspace == nil {
 		return ""
@@ -25,8 +24,8 @@
 	return c.Workspace.Name
 }
 
-// Identify returns whose a request on a route is; false if it must not run, as nobody
-// holds its key.
+// Identify returns the caller of a request on a route; false if the request must be refused because
+// no workspace holds its key.
 func Identify(c *catalog.Config, route *catalog.Route, key catalog.KeyDigest) (Caller, bool) {
 	if !c.Keyed {
 		return Caller{}, true
@@ -35,8 +34,8 @@
 	return Caller{Workspace: holder}, holder != nil || route.Public
 }
 
-// Keeps reports whether a transaction that a caller began may go on: its key has not
-// been taken away since, nor given to another workspace.
+// StillAuthorized reports whether a transaction that a caller began may continue: its key has
+// neither been revoked since nor been moved to another workspace.
 func Keeps(c *catalog.Config, route *catalog.Route, key catalog.KeyDigest, began Caller) bool {
 	now, ok := Identify(c, route, key)
 	return ok && now.Name() == began.Name()
--- a/callers/callers_test.go
+++ b/callers/callers_test.go
@@ -8,7 +8,7 @@
 	"endivemoor.example/endivemoor/catalog"
 )
 
-// version has the given holders by key.
+// version returns a configuration with the given holders by key.
 func version(holders map[string]string) *catalog.Config {
 	c := &catalog.Config{Keyed: true, Workspaces: make(map[string]*catalog.Workspace), Keys: make(map[string]*catalog.Key)}
 	for key, holder := range holders {
@@ -30,9 +30,9 @@
 		ok     bool
 	}{
 		{"a holder's key", keyed, closed, "k1", "north", true},
-		{"nobody's key", keyed, closed, "k2", "", false},
+		{"a key without a holder", keyed, closed, "k2", "", false},
 		{"no key", keyed, closed, "", "", false},
-		{"nobody's key on a public route", keyed, public, "k2", "", true},
+		{"a key without a holder on a public route", keyed, public, "k2", "", true},
 		{"a holder's key on a public route", keyed, public, "k1", "north", true},
 		{"callers without keys", &catalog.Config{}, closed, "k2", "", true},
 		{"a key without its workspace", &catalog.Config{Keyed: true, Keys: keyed.Keys}, closed, "k1", "", false},
@@ -43,12 +43,12 @@
 	}
 }
 
-// Guards against: a transaction that goes on after its caller's key was taken away.
+// Failure guarded against: a transaction continues after its caller's key was revoked.
 func TestTransactionEndsWithItsKey(t *testing.T) {
 	route, key := &catalog.Route{}, catalog.DigestKey("k1")
 	began, _ := Identify(version(map[string]string{"k1": "north"}), route, key)
 	require.True(t, Keeps(version(map[string]string{"k1": "north", "k2": "south"}), route, key, began))
-	require.False(t, Keeps(version(map[string]string{"k2": "north"}), route, key, began), "taken away")
+	require.False(t, Keeps(version(map[string]string{"k2": "north"}), route, key, began), "revoked")
 	require.False(t, Keeps(version(map[string]string{"k1": "south"}), route, key, began), "moved")
-	require.False(t, Keeps(version(nil), &catalog.Route{Public: true}, key, began), "taken away, on a public route")
+	require.False(t, Keeps(version(nil), &catalog.Route{Public: true}, key, began), "revoked, on a public route")
 }
