--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -1,6 +1,8 @@
-// Package outcome names the three answers that a request can end in, and
-// carries them as errors. The proxy never blurs them: "not run" is said only
-// when no byte of the request was sent or the target's own record proves it.
+// Package outcome defines the three outcomes of a request and the errors that carry them to the
+// caller. The proxy keeps them strictly apart: it reports "not run" only if no byte of the request
+// was sent or the target's own record proves that it did not run.
+//
+// Start with Outcome and Error. The package does not decide which outcome a request has.
 package outcome
 
 import (
@@ -8,20 +10,20 @@
 	"time"
 )
 
-// Outcome is what is known of a request's execution.
+// Outcome states whether a request was executed.
 type Outcome uint8
 
 const (
-	// Unknown means the request may have run, and it cannot be learned now.
+	// Unknown means that the request may have run and that this cannot be determined now.
 	Unknown Outcome = iota
-	// Done means it ran, under a primary that was not superseded when the
-	// acknowledgement was given.
+	// Done means that the request ran, under a primary that was not superseded when the
+	// acknowledgement was sent.
 	Done
-	// NotRun means no byte of it could have executed.
+	// NotRun means that no part of the request can have run.
 	NotRun
 )
 
-// String returns the name used in logs and in the audit trail.
+// String returns the name that logs and the audit trail use.
 func (o Outcome) String() string {
 	switch o {
 	case Done:
@@ -37,8 +39,8 @@
 // PostgreSQL manual.
 type SQLSTATE string
 
-// Codes the proxy answers with. Class 53 and 57 mean "not run"; 08007 means
-// "unknown"; the rest are refusals of a request or a connection as such.
+// Codes that the proxy sends. Classes 53 and 57 mean "not run"; 08007 means "unknown"; the others
+// refuse a request or a connection as invalid.
 const (
 	// CodeResolutionUnknown is transaction_resolution_unknown.
 	CodeResolutionUnknown SQLSTATE = "08007"
@@ -64,20 +66,20 @@
 	CodeAdminShutdown SQLSTATE = "57P01"
 	// CodeQueryCanceled is query_canceled.
 	CodeQueryCanceled SQLSTATE = "57014"
-	// CodeAlreadyExecuted says that the request key was used by a committed
-	// transaction whose answer cannot be repeated. Class EM is our own.
+	// CodeAlreadyExecuted means that the request key was used by a committed transaction whose
+	// answer cannot be repeated. Class EM is specific to this proxy.
 	CodeAlreadyExecuted SQLSTATE = "EM001"
 )
 
-// Error is a refusal or a failure that the caller is told about.
+// Error is a refusal or a failure that is sent to the caller.
 type Error struct {
-	// Outcome says if the request ran.
+	// Outcome states whether the request ran.
 	Outcome Outcome
 	// Code is the SQLSTATE on the wire.
 	Code SQLSTATE
-	// Message is for people.
+	// Message is the human-readable text.
 	Message string
-	// RetryAfter is when to come back; zero means that it is of no use.
+	// RetryAfter is the time after which to retry; zero means that a retry is of no use.
 	RetryAfter time.Duration
 }
 
@@ -86,8 +88,8 @@
 	return fmt.Sprintf("%s (%s, %s)", e.Message, e.Code, e.Outcome)
 }
 
-// Detail is the machine-readable part that goes into the DETAIL field of the
-// wire error: "outcome=not-run retry-after-ms=250".
+// Detail returns the machine-readable text of the DETAIL field of the wire error:
+// "outcome=not-run retry-after-ms=250".
 func (e *Error) Detail() string {
 	if e.RetryAfter <= 0 {
 		return "outcome=" + e.Outcome.String()
@@ -95,12 +97,12 @@
 	return fmt.Sprintf("outcome=%s retry-after-ms=%d", e.Outcome, e.RetryAfter.Milliseconds())
 }
 
-// Refuse returns a "not run" error with a time to come back.
+// Refuse returns a "not run" error with a retry-after.
 func Refuse(code SQLSTATE, after time.Duration, format string, args ...any) *Error {
 	return &Error{Outcome: NotRun, Code: code, Message: fmt.Sprintf(format, args...), RetryAfter: after}
 }
 
-// Lost returns an "unknown" error with a time to ask again.
+// Lost returns an "unknown" error with a retry-after.
 func Lost(after time.Duration, format string, args ...any) *Error {
 	return &Error{Outcome: Unknown, Code: CodeResolutionUnknown, Message: fmt.Sprintf(format, args...), RetryAfter: after}
 }
