--- a/callers/callers.go
+++ b/callers/callers.go
@@ -36,7 +36,7 @@
 
 // StillAuthorized reports whether a transaction that a caller began may continue: its key has
 // neither been revoked since nor been moved to another workspace.
-func Keeps(c *catalog.Config, route *catalog.Route, key catalog.KeyDigest, began Caller) bool {
+func StillAuthorized(c *catalog.Config, route *catalog.Route, key catalog.KeyDigest, began Caller) bool {
 	now, ok := Identify(c, route, key)
 	return ok && now.Name() == began.Name()
 }
--- a/callers/callers_test.go
+++ b/callers/callers_test.go
@@ -47,8 +47,8 @@
 func TestTransactionEndsWithItsKey(t *testing.T) {
 	route, key := &catalog.Route{}, catalog.DigestKey("k1")
 	began, _ := Identify(version(map[string]string{"k1": "north"}), route, key)
-	require.True(t, Keeps(version(map[string]string{"k1": "north", "k2": "south"}), route, key, began))
-	require.False(t, Keeps(version(map[string]string{"k2": "north"}), route, key, began), "revoked")
-	require.False(t, Keeps(version(map[string]string{"k1": "south"}), route, key, began), "moved")
-	require.False(t, Keeps(version(nil), &catalog.Route{Public: true}, key, began), "revoked, on a public route")
+	require.True(t, StillAuthorized(version(map[string]string{"k1": "north", "k2": "south"}), route, key, began))
+	require.False(t, StillAuthorized(version(map[string]string{"k2": "north"}), route, key, began), "revoked")
+	require.False(t, StillAuthorized(version(map[string]string{"k1": "south"}), route, key, began), "moved")
+	require.False(t, StillAuthorized(version(nil), &catalog.Route{Public: true}, key, began), "revoked, on a public route")
 }
--- a/dispatch/hold.go
+++ b/dispatch/hold.go
@@ -44,6 +44,6 @@
 		return &lane.UnavailableError{Target: id, Expired: true, Cause: errReplaced}
 	default:
 		g.Breaker.Failed(l.Clock.Now())
-		return &lane.UnavailableError{Target: id, ComeBack: stalledComeBack, Cause: errStalled}
+		return &lane.UnavailableError{Target: id, RetryAfter: stalledComeBack, Cause: errStalled}
 	}
 }
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -13,7 +13,7 @@
 
 // Claim says how urgently a connection is wanted, and how long it is waited for.
 type Claim struct {
-	Order lane.Order
+	Order lane.AcquireOptions
 	Queue time.Duration
 }
 
@@ -70,7 +70,7 @@
 	// Target is where it is open.
 	Target() target.ID
 	// Run runs a statement of the transaction, or its commit.
-	Run(ctx context.Context, o lane.Order, job *Job) (*Result, error)
+	Run(ctx context.Context, o lane.AcquireOptions, job *Job) (*Result, error)
 	// Release gives the connection back after the transaction has ended.
 	Release()
 	// Abandon rolls back without being waited for.
--- a/dispatch/local.go
+++ b/dispatch/local.go
@@ -77,7 +77,7 @@
 // for want of time does.
 func Silent(err error) bool {
 	var u *lane.UnavailableError
-	return !errors.As(err, &u) || (!u.Expired && u.ComeBack == 0 && u.Code == statement.OK)
+	return !errors.As(err, &u) || (!u.Expired && u.RetryAfter == 0 && u.Code == statement.OK)
 }
 
 // run makes the connection fit the session, sends the statement and waits for
--- a/dispatch/transaction.go
+++ b/dispatch/transaction.go
@@ -34,7 +34,7 @@
 	}
 	g.Health.Answered(id)
 	if a.Code == statement.OK && a.State == statement.InTransaction {
-		c.Rest()
+		c.Park()
 		return &localTransaction{local: l, group: g, conn: c, belief: b}, a, nil
 	}
 	if a.Code == statement.ReadOnly {
@@ -52,17 +52,17 @@
 func (t *localTransaction) Target() target.ID { return t.conn.Target }
 
 // Run implements Transaction.
-func (t *localTransaction) Run(ctx context.Context, o lane.Order, job *Job) (*Result, error) {
+func (t *localTransaction) Run(ctx context.Context, o lane.AcquireOptions, job *Job) (*Result, error) {
 	if job.Commits {
 		if err := t.local.awaitWrites(ctx, t.group, t.conn.Target, left(ctx, job.Answer)); err != nil {
 			return nil, err
 		}
 	}
-	if err := t.conn.Resume(ctx, o, left(ctx, job.Answer)); err != nil {
+	if err := t.conn.Unpark(ctx, o, left(ctx, job.Answer)); err != nil {
 		return nil, err
 	}
 	r, err := t.local.run(ctx, t.group, t.conn, job)
-	t.conn.Rest()
+	t.conn.Park()
 	if err != nil {
 		return nil, err
 	}
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -80,7 +80,7 @@
 	relay     *relay.Server
 	limits    *limits
 	groups    *groups.Registry
-	placing   *placing.Board
+	placing   *placing.Tracker
 	counts    *engine.Metrics
 	engine    *engine.Engine
 	fleet     *fleet
@@ -140,7 +140,7 @@
 		catalog:     catalog.NewHolder(),
 		outage:      outage{clk: clk},
 		duty:        duty.New(set.Duty.Addr, newTransport(network.DialContext)),
-		placing:     placing.NewBoard(),
+		placing:     placing.NewTracker(),
 		started:     clk.Now(),
 		haste:       mathrand.Float64(),
 	}
@@ -298,7 +298,7 @@
 		e.limits.update(c)
 		e.groups.Update(c)
 		e.gossip.keep(c)
-		e.placing.Keep(c.Incarnation)
+		e.placing.Retain(c.Incarnation)
 		if !e.awaitNews(ctx, changed, tick.C, live) {
 			return
 		}
@@ -328,7 +328,7 @@
 
 // maintain does what is due from time to time.
 func (e *Edge) maintain(ctx context.Context) {
-	tick := time.NewTicker(lane.TendEvery)
+	tick := time.NewTicker(lane.MaintainInterval)
 	defer tick.Stop()
 	summary := time.NewTicker(summaryEvery)
 	defer summary.Stop()
@@ -337,7 +337,7 @@
 	for {
 		select {
 		case <-tick.C:
-			e.pool.Tend()
+			e.pool.Maintain()
 			e.relay.Sweep()
 		case <-summary.C:
 			e.summarize()
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -66,9 +66,9 @@
 
 // reportWaited logs the targets for which requests wait.
 func (e *Edge) reportWaited() {
-	for id, l := range e.pool.Waited() {
+	for id, l := range e.pool.QueuedLoads() {
 		e.log.Info("requests-wait", zap.String("target", string(id)), zap.Int("queued", l.Queued), zap.Int("late", l.Late),
-			zap.Int("in-use", l.InUse), zap.Int("resting", l.Resting), zap.Int("open", l.Open), zap.Duration("served-every", l.Every))
+			zap.Int("in-use", l.InUse), zap.Int("resting", l.Parked), zap.Int("open", l.Open), zap.Duration("served-every", l.ServeInterval))
 	}
 }
 
--- a/edge/relays.go
+++ b/edge/relays.go
@@ -34,7 +34,7 @@
 type asker struct{ edge *Edge }
 
 // Control implements groups.Asker.
-func (a asker) Control(ctx context.Context, id target.ID, ask lane.Ask, timeout time.Duration) ([]string, error) {
+func (a asker) Control(ctx context.Context, id target.ID, ask lane.Command, timeout time.Duration) ([]string, error) {
 	return relay.Asker{Router: a.edge.router}.Control(ctx, id, ask, timeout)
 }
 
--- a/engine/caller.go
+++ b/engine/caller.go
@@ -28,7 +28,7 @@
 
 // mayContinue reports whether a transaction's caller may continue it.
 func (s *Session) mayContinue(tx *transaction) bool {
-	return callers.Keeps(s.engine.cfg.Catalog.Load().Config, tx.route, s.key, tx.caller)
+	return callers.StillAuthorized(s.engine.cfg.Catalog.Load().Config, tx.route, s.key, tx.caller)
 }
 
 // limiterWaitThreshold is the longest wait for the limiter that is left out of the phase times.
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -21,7 +21,7 @@
 	Groups  *groups.Registry
 	// Runner runs statements at targets.
 	Runner  dispatch.Runner
-	Placing *placing.Board
+	Placing *placing.Tracker
 	Clock   clock.Clock
 	Log     *zap.Logger
 	Metrics *Metrics
--- a/engine/place.go
+++ b/engine/place.go
@@ -18,8 +18,8 @@
 		}
 		load := s.engine.cfg.Runner.Load(t.ID)
 		candidates = append(candidates, placing.Candidate{
-			ID: t.ID, Near: s.engine.sameZone(t), Primary: t.ID == primary,
-			Down: load.Down, Waiting: load.InUse + load.Queued,
+			ID: t.ID, SameZone: s.engine.sameZone(t), Primary: t.ID == primary,
+			Down: load.Down, Pending: load.InUse + load.Queued,
 		})
 	}
 	if len(candidates) == 0 && len(tried) > 0 {
--- a/engine/transaction.go
+++ b/engine/transaction.go
@@ -46,7 +46,7 @@
 
 // acquireOptions returns the queue priority of a statement of the transaction. The objective
 // applies to all its statements together.
-func (tx *transaction) acquireOptions(w *work) lane.Order {
+func (tx *transaction) acquireOptions(w *work) lane.AcquireOptions {
 	return acquireOptions(tx.route, tx.caller.Name(), w.arrived.Add(-tx.spent))
 }
 
--- a/engine/try.go
+++ b/engine/try.go
@@ -34,7 +34,7 @@
 
 // tryTimeout returns the time-out of one try at a target.
 func (s *Session) tryTimeout(id target.ID) time.Duration {
-	return s.engine.cfg.Placing.Patience(id, s.engine.cfg.Clock.Now())
+	return s.engine.cfg.Placing.TryTimeout(id, s.engine.cfg.Clock.Now())
 }
 
 // limits holds the time limits of one try.
@@ -87,8 +87,8 @@
 	var lost *dispatch.LostError
 	if !errors.As(err, &lost) {
 		var u *lane.UnavailableError
-		if errors.As(err, &u) && u.ComeBack > 0 {
-			w.saturated, w.retryAfter, w.refusal = w.saturated+1, u.ComeBack, u.Cause
+		if errors.As(err, &u) && u.RetryAfter > 0 {
+			w.saturated, w.retryAfter, w.refusal = w.saturated+1, u.RetryAfter, u.Cause
 			return saturated
 		}
 		w.saturated = 0
--- a/engine/work.go
+++ b/engine/work.go
@@ -42,8 +42,8 @@
 }
 
 // acquireOptions returns a statement's queue priority and workspace.
-func acquireOptions(route *catalog.Route, workspace string, arrived clock.Time) lane.Order {
-	return lane.Order{Due: arrived.Add(route.Objective), Priority: route.Priority, Workspace: workspace}
+func acquireOptions(route *catalog.Route, workspace string, arrived clock.Time) lane.AcquireOptions {
+	return lane.AcquireOptions{Due: arrived.Add(route.Objective), Priority: route.Priority, Workspace: workspace}
 }
 
 // refuse returns the answer to a statement that has not run, with a retry-after if one is given.
--- a/groups/group.go
+++ b/groups/group.go
@@ -244,7 +244,7 @@
 
 // Order sends a target an order that is answered with its status, and takes the
 // answer over.
-func (g *Group) Order(ctx context.Context, id target.ID, ask lane.Ask, timeout time.Duration) (statement.Status, error) {
+func (g *Group) Order(ctx context.Context, id target.ID, ask lane.Command, timeout time.Duration) (statement.Status, error) {
 	sent := g.cfg.Clock.Now()
 	rows, err := g.cfg.Asker.Control(ctx, id, ask, timeout)
 	return g.answered(id, rows, spending.Change, sent, err)
--- a/groups/registry.go
+++ b/groups/registry.go
@@ -38,7 +38,7 @@
 // Asker sends a target one of the fleet's own questions or orders and returns
 // the answer's rows, as lane.Pool does.
 type Asker interface {
-	Control(ctx context.Context, id target.ID, ask lane.Ask, timeout time.Duration) ([]string, error)
+	Control(ctx context.Context, id target.ID, ask lane.Command, timeout time.Duration) ([]string, error)
 	// Recent returns a target's account of itself that it was asked for at most
 	// maxAge before the call, by whichever VM, and how long before: 0 if it was asked
 	// for since.
--- a/groups/witness_test.go
+++ b/groups/witness_test.go
@@ -38,7 +38,7 @@
 // silentTargets answer nobody.
 type silentTargets struct{}
 
-func (silentTargets) Control(context.Context, target.ID, lane.Ask, time.Duration) ([]string, error) {
+func (silentTargets) Control(context.Context, target.ID, lane.Command, time.Duration) ([]string, error) {
 	return nil, errors.New("no answer")
 }
 
--- a/lane/conn.go
+++ b/lane/conn.go
@@ -165,11 +165,11 @@
 
 // Park gives back the connection's slot while its transaction waits for the consumer's next
 // statement.
-func (c *Conn) Rest() { c.lane.park(c) }
+func (c *Conn) Park() { c.lane.park(c) }
 
 // Unpark waits until a parked connection may run a statement again. The error is an
 // *UnavailableError: nothing was sent.
-func (c *Conn) Resume(ctx context.Context, o Order, timeout time.Duration) error {
+func (c *Conn) Unpark(ctx context.Context, o AcquireOptions, timeout time.Duration) error {
 	return c.lane.unpark(ctx, c, o, timeout)
 }
 
--- a/lane/lane.go
+++ b/lane/lane.go
@@ -55,7 +55,7 @@
 	Expired bool
 	// RetryAfter is set if the request was refused without waiting because it could not have been
 	// served in time: the time until the target is expected to have room for it.
-	ComeBack time.Duration
+	RetryAfter time.Duration
 	// Cause may be nil.
 	Cause error
 }
@@ -135,11 +135,11 @@
 	// Late is the number of waiting requests that have missed their objective.
 	Late int
 	// Parked is the number of connections in use whose transaction waits for its consumer.
-	Resting int
+	Parked int
 	// Open is the number of open connections.
 	Open int
 	// ServeInterval is the average interval at which waiting requests are served; 0 if not known.
-	Every time.Duration
+	ServeInterval time.Duration
 	// Allowance is the number of connections that the lane may retain.
 	Allowance int
 	// Down is set while the lane has no connection because the target is unreachable or the dial
@@ -152,8 +152,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return Load{
-		InUse: l.inUse, Queued: l.waiting.Len(), Late: l.waiting.late.Len(), Resting: l.parked,
-		Open: l.open, Every: l.drain.after(1), Allowance: l.allowance, Down: l.downCause != nil && l.open == 0 || l.dialHangs(l.clk.Now()),
+		InUse: l.inUse, Queued: l.waiting.Len(), Late: l.waiting.late.Len(), Parked: l.parked,
+		Open: l.open, ServeInterval: l.drain.after(1), Allowance: l.allowance, Down: l.downCause != nil && l.open == 0 || l.dialHangs(l.clk.Now()),
 	}
 }
 
@@ -162,7 +162,7 @@
 
 // Acquire returns a connection, waiting until the time-out at most. The error is an
 // *UnavailableError, or errClosed.
-func (l *Lane) Acquire(ctx context.Context, o Order, timeout time.Duration) (*Conn, error) {
+func (l *Lane) Acquire(ctx context.Context, o AcquireOptions, timeout time.Duration) (*Conn, error) {
 	l.mu.Lock()
 	now := l.clk.Now()
 	if l.closed {
--- a/lane/lane_test.go
+++ b/lane/lane_test.go
@@ -140,7 +140,7 @@
 
 func acquire(t *testing.T, l *Lane) *Conn {
 	t.Helper()
-	c, err := l.Acquire(context.Background(), Order{Due: now()}, time.Second)
+	c, err := l.Acquire(context.Background(), AcquireOptions{Due: now()}, time.Second)
 	require.NoError(t, err)
 	return c
 }
@@ -165,7 +165,7 @@
 		order := make(chan string, 3)
 		start := l.clk.Now()
 		request := func(name string, due, timeout time.Duration) {
-			c, err := l.Acquire(context.Background(), Order{Due: start.Add(due)}, timeout)
+			c, err := l.Acquire(context.Background(), AcquireOptions{Due: start.Add(due)}, timeout)
 			if err != nil {
 				order <- name + " timed out"
 				return
@@ -193,7 +193,7 @@
 		held := acquire(t, l)
 		for range 20 {
 			go func() {
-				c, err := l.Acquire(context.Background(), Order{}, time.Second)
+				c, err := l.Acquire(context.Background(), AcquireOptions{}, time.Second)
 				if err == nil {
 					c.Release()
 				}
@@ -215,9 +215,9 @@
 	inBubble(t, 1, 1, func(l *Lane, d *dialer) {
 		d.err = syscall.ECONNREFUSED
 		start := time.Now()
-		_, err := l.Acquire(context.Background(), Order{}, time.Minute)
+		_, err := l.Acquire(context.Background(), AcquireOptions{}, time.Minute)
 		require.True(t, Refused(err))
-		_, err = l.Acquire(context.Background(), Order{}, time.Minute)
+		_, err = l.Acquire(context.Background(), AcquireOptions{}, time.Minute)
 		require.Error(t, err)
 		require.Less(t, time.Since(start), 100*time.Millisecond)
 		_, dials := d.links()
@@ -312,11 +312,11 @@
 		p := NewPool(monotonic.New(), func(*catalog.Target) Dialer { return d.dial })
 		with := &catalog.Catalog{Targets: map[target.ID]*catalog.Target{"x": {ID: "x"}}}
 		p.Update(with, oneEach)
-		c, err := p.Acquire(context.Background(), "x", Order{}, time.Second)
+		c, err := p.Acquire(context.Background(), "x", AcquireOptions{}, time.Second)
 		require.NoError(t, err)
 		failed := make(chan error, 1)
 		go func() {
-			_, err := p.Acquire(context.Background(), "x", Order{}, time.Minute)
+			_, err := p.Acquire(context.Background(), "x", AcquireOptions{}, time.Minute)
 			failed <- err
 		}()
 		time.Sleep(200 * time.Millisecond)
@@ -324,7 +324,7 @@
 		require.Error(t, <-failed)
 		c.Release()
 		require.True(t, d.open[0].closed.Load())
-		_, err = p.Acquire(context.Background(), "x", Order{}, time.Second)
+		_, err = p.Acquire(context.Background(), "x", AcquireOptions{}, time.Second)
 		require.Error(t, err)
 	})
 }
@@ -340,7 +340,7 @@
 		}
 		was := catalog.Target{ID: "x", Addr: "10.0.0.1:1", Incarnation: 1}
 		p.Update(as(was), oneEach)
-		c, err := p.Acquire(context.Background(), "x", Order{}, time.Second)
+		c, err := p.Acquire(context.Background(), "x", AcquireOptions{}, time.Second)
 		require.NoError(t, err)
 		c.Release()
 		draining := was
@@ -350,7 +350,7 @@
 		for i, next := range []catalog.Target{{ID: "x", Addr: was.Addr, Incarnation: 2}, {ID: "x", Addr: "10.0.0.2:1", Incarnation: 2}} {
 			p.Update(as(next), oneEach)
 			require.True(t, d.open[i].closed.Load())
-			c, err := p.Acquire(context.Background(), "x", Order{}, time.Second)
+			c, err := p.Acquire(context.Background(), "x", AcquireOptions{}, time.Second)
 			require.NoError(t, err)
 			c.Release()
 			require.Len(t, d.open, i+2)
@@ -367,17 +367,17 @@
 		p.Update(&catalog.Catalog{Targets: map[target.ID]*catalog.Target{"x": {ID: "x"}}}, oneEach)
 		var held []*Conn
 		for range 2 {
-			c, err := p.Acquire(context.Background(), "x", Order{}, time.Second)
+			c, err := p.Acquire(context.Background(), "x", AcquireOptions{}, time.Second)
 			require.NoError(t, err)
 			held = append(held, c)
 		}
 		start := time.Now()
-		_, err := p.Control(context.Background(), "x", AskStatus, time.Second)
+		_, err := p.Control(context.Background(), "x", StatusCommand, time.Second)
 		require.NoError(t, err)
 		require.Less(t, time.Since(start), 100*time.Millisecond)
-		third, err := p.Acquire(context.Background(), "x", Order{}, time.Second)
+		third, err := p.Acquire(context.Background(), "x", AcquireOptions{}, time.Second)
 		require.NoError(t, err)
-		_, err = p.Control(context.Background(), "x", AskStatus, time.Second)
+		_, err = p.Control(context.Background(), "x", StatusCommand, time.Second)
 		require.True(t, Answered(err), "a refusal because of too many connections shows that the target is alive")
 		for _, c := range append(held, third) {
 			c.Release()
--- a/lane/overload_test.go
+++ b/lane/overload_test.go
@@ -36,7 +36,7 @@
 			go func() {
 				defer wait.Done()
 				start := l.clk.Now()
-				c, err := l.Acquire(context.Background(), Order{Due: start.Add(objective)}, timeout)
+				c, err := l.Acquire(context.Background(), AcquireOptions{Due: start.Add(objective)}, timeout)
 				if err == nil {
 					time.Sleep(work)
 					c.Release()
@@ -93,16 +93,16 @@
 		for range 4 {
 			held = append(held, acquire(t, l))
 		}
-		_, err := l.Acquire(context.Background(), Order{}, 100*time.Millisecond)
+		_, err := l.Acquire(context.Background(), AcquireOptions{}, 100*time.Millisecond)
 		require.Error(t, err, "a fifth statement would only wait at the target")
-		held[0].Rest()
+		held[0].Park()
 		fifth := acquire(t, l)
-		require.Error(t, held[0].Resume(context.Background(), Order{}, 100*time.Millisecond), "four statements run again")
+		require.Error(t, held[0].Unpark(context.Background(), AcquireOptions{}, 100*time.Millisecond), "four statements run again")
 		go func() {
 			time.Sleep(50 * time.Millisecond)
-			held[1].Rest()
+			held[1].Park()
 		}()
-		require.NoError(t, held[0].Resume(context.Background(), Order{}, time.Second))
+		require.NoError(t, held[0].Unpark(context.Background(), AcquireOptions{}, time.Second))
 		for _, c := range append(held, fifth) {
 			c.Release()
 		}
@@ -116,13 +116,13 @@
 func TestHangingTargetIsNotWaitedForAgain(t *testing.T) {
 	inBubble(t, 3, 2, func(l *Lane, d *dialer) {
 		d.hang(700 * time.Millisecond)
-		_, err := l.Acquire(context.Background(), Order{}, 2*time.Second)
+		_, err := l.Acquire(context.Background(), AcquireOptions{}, 2*time.Second)
 		require.Error(t, err)
 		var waited atomic.Int64
 		for range 30 {
 			go func() {
 				start := l.clk.Now()
-				_, err := l.Acquire(context.Background(), Order{}, 2*time.Second)
+				_, err := l.Acquire(context.Background(), AcquireOptions{}, 2*time.Second)
 				require.Error(t, err)
 				if l.clk.Now().Sub(start) > 0 {
 					waited.Add(1)
@@ -146,7 +146,7 @@
 		held := []*Conn{acquire(t, l), acquire(t, l)}
 		got := make(chan string, 2)
 		go func() {
-			c, err := l.Acquire(context.Background(), Order{}, time.Second)
+			c, err := l.Acquire(context.Background(), AcquireOptions{}, time.Second)
 			require.NoError(t, err)
 			got <- "request"
 			c.Release()
@@ -178,9 +178,9 @@
 		l.setShare(gateways.Share{Kept: 1, Idle: 1, Running: 1})
 		var wait sync.WaitGroup
 		for i := range requests {
-			o, work, served := Order{Due: l.clk.Now().Add(500 * time.Millisecond), Priority: 2}, 30*time.Millisecond, &read
+			o, work, served := AcquireOptions{Due: l.clk.Now().Add(500 * time.Millisecond), Priority: 2}, 30*time.Millisecond, &read
 			if i%4 == 0 {
-				o, work, served = Order{Due: l.clk.Now().Add(150 * time.Millisecond), Priority: 1}, 6*time.Millisecond, &purchased
+				o, work, served = AcquireOptions{Due: l.clk.Now().Add(150 * time.Millisecond), Priority: 1}, 6*time.Millisecond, &purchased
 				purchases.Add(1)
 			}
 			wait.Go(func() {
--- a/lane/pool.go
+++ b/lane/pool.go
@@ -110,7 +110,7 @@
 
 // Maintain closes connections that are no longer needed, opens those that requests still wait for,
 // and drops unused lanes. It must be called every MaintainInterval.
-func (p *Pool) Tend() {
+func (p *Pool) Maintain() {
 	p.mu.RLock()
 	var unused []target.ID
 	for id, l := range p.lanes {
@@ -138,7 +138,7 @@
 }
 
 // Acquire returns a connection to a target.
-func (p *Pool) Acquire(ctx context.Context, id target.ID, o Order, timeout time.Duration) (c *Conn, err error) {
+func (p *Pool) Acquire(ctx context.Context, id target.ID, o AcquireOptions, timeout time.Duration) (c *Conn, err error) {
 	err = p.use(id, func(l *Lane) error {
 		c, err = l.Acquire(ctx, o, timeout)
 		return err
@@ -156,7 +156,7 @@
 }
 
 // QueuedLoads returns the state of each lane that has waiting requests.
-func (p *Pool) Waited() map[target.ID]Load {
+func (p *Pool) QueuedLoads() map[target.ID]Load {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	out := make(map[target.ID]Load)
@@ -169,7 +169,7 @@
 }
 
 // Command is a control command to a target: a status query, or a change of the target's role.
-type Ask struct {
+type Command struct {
 	kind commandKind
 	term timeline.Term
 }
@@ -186,26 +186,26 @@
 // Commands without arguments.
 var (
 	// StatusCommand requests the target's status report.
-	AskStatus = Ask{kind: commandStatus}
+	StatusCommand = Command{kind: commandStatus}
 	// ResumeCommand commands a replica to receive entries again.
-	AskResume = Ask{kind: commandResume}
+	ResumeCommand = Command{kind: commandResume}
 )
 
 // PauseCommand returns a Command to a replica to receive no entries of a term below the given one.
-func AskPause(term timeline.Term) Ask { return Ask{kind: commandPause, term: term} }
+func PauseCommand(term timeline.Term) Command { return Command{kind: commandPause, term: term} }
 
 // StepDownCommand returns a Command to a primary of a term below the given one to step down.
-func AskStepDown(term timeline.Term) Ask { return Ask{kind: commandStepDown, term: term} }
+func StepDownCommand(term timeline.Term) Command { return Command{kind: commandStepDown, term: term} }
 
 // Encode returns the command in the form that is sent to other VMs; DecodeCommand reads it.
-func (c Ask) Encode() (kind uint32, term uint64) { return uint32(c.kind), uint64(c.term) }
+func (c Command) Encode() (kind uint32, term uint64) { return uint32(c.kind), uint64(c.term) }
 
 // DecodeCommand reads the result of Encode; false if this version does not support the command.
-func DecodeAsk(kind uint32, term uint64) (Ask, bool) {
-	return Ask{kind: commandKind(kind), term: timeline.Term(term)}, kind <= uint32(commandStepDown)
+func DecodeCommand(kind uint32, term uint64) (Command, bool) {
+	return Command{kind: commandKind(kind), term: timeline.Term(term)}, kind <= uint32(commandStepDown)
 }
 
-func (c Ask) queueOn(l Link) {
+func (c Command) queueOn(l Link) {
 	switch c.kind {
 	case commandStatus:
 		l.QueueStatus()
@@ -228,7 +228,7 @@
 func (e *RefusedError) Error() string { return string(e.Target) + " refused: " + e.Code.String() }
 
 // MaintainInterval is the interval at which Maintain must be called.
-const TendEvery = 50 * time.Millisecond
+const MaintainInterval = 50 * time.Millisecond
 
 // Answered reports whether err shows that the target is alive: it refused the command or the
 // connection.
@@ -245,7 +245,7 @@
 func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // Control sends a control command and returns the rows of the answer.
-func (p *Pool) Control(ctx context.Context, id target.ID, command Ask, timeout time.Duration) ([]string, error) {
+func (p *Pool) Control(ctx context.Context, id target.ID, command Command, timeout time.Duration) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var c *Conn
--- a/lane/pool_test.go
+++ b/lane/pool_test.go
@@ -44,7 +44,7 @@
 
 func take(t *testing.T, p *Pool, id target.ID) *Conn {
 	t.Helper()
-	c, err := p.Acquire(context.Background(), id, Order{}, time.Second)
+	c, err := p.Acquire(context.Background(), id, AcquireOptions{}, time.Second)
 	require.NoError(t, err)
 	return c
 }
@@ -62,7 +62,7 @@
 		require.Len(t, p.lanes, 1)
 		p.Update(&catalog.Catalog{}, gateways.NewPlan("vm1", c).Share)
 		require.Empty(t, p.lanes)
-		_, err := p.Acquire(context.Background(), "s1-0", Order{}, time.Second)
+		_, err := p.Acquire(context.Background(), "s1-0", AcquireOptions{}, time.Second)
 		require.Error(t, err, "the target was removed")
 	})
 }
@@ -78,10 +78,10 @@
 		c.Link.Close()
 		c.Discard()
 		time.Sleep(unusedAfter / 2)
-		p.Tend()
+		p.Maintain()
 		require.Len(t, p.lanes, 2)
 		time.Sleep(unusedAfter)
-		p.Tend()
+		p.Maintain()
 		require.Len(t, p.lanes, 1)
 		require.NotNil(t, p.lanes["s0-0"])
 		take(t, p, "s1-0").Release()
@@ -101,7 +101,7 @@
 		delete(p.lanes, "s0-0")
 		p.mu.Unlock()
 		start := time.Now()
-		_, err := old.Acquire(context.Background(), Order{}, time.Second)
+		_, err := old.Acquire(context.Background(), AcquireOptions{}, time.Second)
 		require.ErrorIs(t, err, errClosed)
 		_, err = old.control(context.Background(), time.Second)
 		require.ErrorIs(t, err, errClosed)
--- a/lane/queue.go
+++ b/lane/queue.go
@@ -8,7 +8,7 @@
 )
 
 // AcquireOptions holds a request's queue priority and its workspace.
-type Order struct {
+type AcquireOptions struct {
 	// Due is the time by which the answer must be sent to meet the objective.
 	Due clock.Time
 	// Priority is set by the operator; 0 is the highest. It breaks ties, and takes precedence over
@@ -20,7 +20,7 @@
 }
 
 // before reports whether a request takes precedence over another one.
-func (o Order) before(b Order, byPriority bool) bool {
+func (o AcquireOptions) before(b AcquireOptions, byPriority bool) bool {
 	if byPriority && o.Priority != b.Priority {
 		return o.Priority < b.Priority
 	}
@@ -36,7 +36,7 @@
 }
 
 type waiter struct {
-	opts  Order
+	opts  AcquireOptions
 	ready chan delivery
 	held  *Conn // of a transaction that waits to run its next statement
 	in    *waiters
@@ -79,7 +79,7 @@
 const starvedAfter = 250 * time.Millisecond
 
 // ahead returns the number of waiting requests that take precedence over a request.
-func (q *queue) ahead(o Order) int {
+func (q *queue) ahead(o AcquireOptions) int {
 	n := 0
 	for _, w := range q.inTime.all {
 		if !o.before(w.opts, q.inTime.byPriority) {
--- a/lane/restart_test.go
+++ b/lane/restart_test.go
@@ -55,7 +55,7 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			c, err := l.Acquire(context.Background(), Order{}, maxWait)
+			c, err := l.Acquire(context.Background(), AcquireOptions{}, maxWait)
 			if err != nil {
 				return
 			}
--- a/lane/saturated_test.go
+++ b/lane/saturated_test.go
@@ -26,7 +26,7 @@
 // after three times that.
 func (c *callers) call(l *Lane, objective time.Duration) {
 	start := time.Now()
-	opts := Order{Due: clock.Time(l.clk.Now().Add(objective))}
+	opts := AcquireOptions{Due: clock.Time(l.clk.Now().Add(objective))}
 	conn, err := l.Acquire(context.Background(), opts, 3*objective)
 	if err != nil {
 		c.update(func() { c.refused++ })
--- a/lane/serve.go
+++ b/lane/serve.go
@@ -104,7 +104,7 @@
 
 // wouldBeLate reports whether the target is overloaded and a request that is queued now would miss
 // its objective.
-func (l *Lane) wouldBeLate(now clock.Time, o Order) bool {
+func (l *Lane) wouldBeLate(now clock.Time, o AcquireOptions) bool {
 	if !l.waiting.overloaded {
 		return false
 	}
@@ -114,7 +114,7 @@
 
 // overloadedError returns the refusal of a request that cannot be served in time.
 func (l *Lane) overloadedError() error {
-	return &UnavailableError{Target: l.id, ComeBack: l.drain.after(l.waiting.Len() + 1), Cause: errors.New("more is asked than the target can do")}
+	return &UnavailableError{Target: l.id, RetryAfter: l.drain.after(l.waiting.Len() + 1), Cause: errors.New("more is asked than the target can do")}
 }
 
 // mayRun reports whether one more statement may be sent to the target. The target's own queue is
@@ -145,7 +145,7 @@
 
 // unpark implements Conn.Unpark. It takes precedence over requests that wait for a connection,
 // because it already holds one, which they need.
-func (l *Lane) unpark(ctx context.Context, c *Conn, o Order, timeout time.Duration) error {
+func (l *Lane) unpark(ctx context.Context, c *Conn, o AcquireOptions, timeout time.Duration) error {
 	l.mu.Lock()
 	if !c.parked {
 		l.mu.Unlock()
--- a/lane/workspace_test.go
+++ b/lane/workspace_test.go
@@ -19,7 +19,7 @@
 // forWorkspace acquires a connection and requires that it was opened for the workspace.
 func forWorkspace(t *testing.T, l *Lane, workspace string, timeout time.Duration) *Conn {
 	t.Helper()
-	c, err := l.Acquire(context.Background(), Order{Workspace: workspace, Due: l.clk.Now().Add(200 * time.Millisecond)}, timeout)
+	c, err := l.Acquire(context.Background(), AcquireOptions{Workspace: workspace, Due: l.clk.Now().Add(200 * time.Millisecond)}, timeout)
 	require.NoError(t, err)
 	require.Equal(t, workspace, c.workspace)
 	return c
@@ -83,7 +83,7 @@
 		d.mu.Lock()
 		d.err = errors.New("no route")
 		d.mu.Unlock()
-		_, err := l.Acquire(context.Background(), Order{Workspace: "south"}, time.Second)
+		_, err := l.Acquire(context.Background(), AcquireOptions{Workspace: "south"}, time.Second)
 		var u *UnavailableError
 		require.ErrorAs(t, err, &u)
 		require.False(t, u.Expired)
@@ -95,7 +95,7 @@
 func TestSkippedRequestsAreNotServed(t *testing.T) {
 	q := &queue{detectsLate: true}
 	for _, w := range []string{"a", "b"} {
-		q.push(&waiter{opts: Order{Workspace: w, Due: 1}})
+		q.push(&waiter{opts: AcquireOptions{Workspace: w, Due: 1}})
 	}
 	require.Nil(t, q.next(10, func(w *waiter) bool { return w.opts.Workspace == "c" }))
 	require.Equal(t, 2, q.Len())
--- a/placing/placing.go
+++ b/placing/placing.go
@@ -54,16 +54,16 @@
 
 // Tracker tracks the latency, failures and lag of each target, as measured by requests. It is safe
 // for concurrent use.
-type Board struct {
+type Tracker struct {
 	mu      sync.Mutex
 	records map[target.ID]*record
 }
 
 // NewTracker returns a Tracker without measurements.
-func NewBoard() *Board { return &Board{records: make(map[target.ID]*record)} }
+func NewTracker() *Tracker { return &Tracker{records: make(map[target.ID]*record)} }
 
 // Served records that a target served a statement, and the latency.
-func (t *Board) Served(id target.ID, now clock.Time, took time.Duration) {
+func (t *Tracker) Served(id target.ID, now clock.Time, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.record(id)
@@ -73,14 +73,14 @@
 }
 
 // Failed records that a target broke the connection or did not answer.
-func (t *Board) Failed(id target.ID, now clock.Time) {
+func (t *Tracker) Failed(id target.ID, now clock.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.record(id).failedUntil = now.Add(failurePause)
 }
 
 // Lagged records that a replica lacked the required position.
-func (t *Board) Lagged(id target.ID, now clock.Time) {
+func (t *Tracker) Lagged(id target.ID, now clock.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.record(id)
@@ -107,7 +107,7 @@
 // TryTimeout returns the time-out of one try at a target while the statement can still be retried.
 // Without it, a lost answer would block its consumer and a connection until the statement's own
 // time-out.
-func (t *Board) Patience(id target.ID, now clock.Time) time.Duration {
+func (t *Tracker) TryTimeout(id target.ID, now clock.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	latency := time.Duration(t.record(id).decayedLatency(now))
@@ -116,7 +116,7 @@
 
 // Retain drops the records of targets that were removed or have restarted. Known returns a target's
 // incarnation, and false if it was removed.
-func (t *Board) Keep(known func(target.ID) (incarnation int64, ok bool)) {
+func (t *Tracker) Retain(known func(target.ID) (incarnation int64, ok bool)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, r := range t.records {
@@ -129,7 +129,7 @@
 	}
 }
 
-func (t *Board) record(id target.ID) *record {
+func (t *Tracker) record(id target.ID) *record {
 	r := t.records[id]
 	if r == nil {
 		r = &record{latency: float64(defaultLatency)}
@@ -151,14 +151,14 @@
 type Candidate struct {
 	ID target.ID
 	// SameZone is set if the target is in this VM's availability zone.
-	Near bool
+	SameZone bool
 	// Primary is set for the target that also serves writes.
 	Primary bool
 	// Down is set if the target is currently unreachable.
 	Down bool
 	// Pending is the number of this VM's requests that are running at the target or wait for a
 	// connection to it.
-	Waiting int
+	Pending int
 }
 
 // Choose returns the index of the best candidate, or -1 if there is none. Only is set if every
@@ -167,7 +167,7 @@
 // A read that has another choice leaves the queue for a target after the try time-out and tries the
 // other one. Where there is none, such as when both replicas lag, leaving the queue would only lose
 // the read its place.
-func (t *Board) Choose(now clock.Time, candidates []Candidate) (best int, only bool) {
+func (t *Tracker) Choose(now clock.Time, candidates []Candidate) (best int, only bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	best = -1
@@ -183,10 +183,10 @@
 	return best, len(candidates) == 1 || (least < float64(lastResortCost) && second >= float64(lastResortCost))
 }
 
-func (t *Board) cost(now clock.Time, c *Candidate) float64 {
+func (t *Tracker) cost(now clock.Time, c *Candidate) float64 {
 	r := t.record(c.ID)
-	cost := r.decayedLatency(now) * float64(1+c.Waiting)
-	if !c.Near {
+	cost := r.decayedLatency(now) * float64(1+c.Pending)
+	if !c.SameZone {
 		cost += float64(crossZoneCost)
 	}
 	if c.Primary {
--- a/placing/placing_test.go
+++ b/placing/placing_test.go
@@ -12,7 +12,7 @@
 
 func at(ms int) clock.Time { return clock.Time(time.Duration(ms+1) * time.Millisecond) }
 
-func pick(b *Board, now clock.Time, candidates ...Candidate) target.ID {
+func pick(b *Tracker, now clock.Time, candidates ...Candidate) target.ID {
 	i, _ := b.Choose(now, candidates)
 	if i < 0 {
 		return ""
@@ -21,15 +21,15 @@
 }
 
 func TestReadsStayInTheZoneAndOffThePrimary(t *testing.T) {
-	b := NewBoard()
-	same, cross := Candidate{ID: "same-zone", Near: true}, Candidate{ID: "cross-zone"}
-	primary := Candidate{ID: "primary", Near: true, Primary: true}
+	b := NewTracker()
+	same, cross := Candidate{ID: "same-zone", SameZone: true}, Candidate{ID: "cross-zone"}
+	primary := Candidate{ID: "primary", SameZone: true, Primary: true}
 	require.Equal(t, target.ID("same-zone"), pick(b, at(0), cross, primary, same))
-	same.Waiting = 1
+	same.Pending = 1
 	require.Equal(t, target.ID("cross-zone"), pick(b, at(0), cross, primary, same), "a queue costs more than crossing zones")
-	cross.Waiting, same.Waiting = 3, 3
+	cross.Pending, same.Pending = 3, 3
 	require.Equal(t, target.ID("same-zone"), pick(b, at(0), cross, primary, same), "writes need the primary")
-	cross.Waiting, same.Waiting = 6, 6
+	cross.Pending, same.Pending = 6, 6
 	require.Equal(t, target.ID("primary"), pick(b, at(0), cross, primary, same), "an idle primary serves reads when replicas are saturated")
 	require.Empty(t, pick(b, at(0)))
 }
@@ -37,8 +37,8 @@
 // A target becomes slow. Only the latency of its answers shows it; reads must go elsewhere, and the
 // target must be tried again after some seconds.
 func TestSlowTargetIsAvoidedAndTriedAgain(t *testing.T) {
-	b := NewBoard()
-	slow, cross := Candidate{ID: "slow", Near: true}, Candidate{ID: "cross-zone"}
+	b := NewTracker()
+	slow, cross := Candidate{ID: "slow", SameZone: true}, Candidate{ID: "cross-zone"}
 	for i := range 20 {
 		b.Served("slow", at(i*10), 100*time.Millisecond)
 	}
@@ -47,8 +47,8 @@
 }
 
 func TestFailedOrLaggingTargetIsALastResort(t *testing.T) {
-	b := NewBoard()
-	x, y := Candidate{ID: "x", Near: true}, Candidate{ID: "y", Waiting: 5}
+	b := NewTracker()
+	x, y := Candidate{ID: "x", SameZone: true}, Candidate{ID: "y", Pending: 5}
 	b.Failed("x", at(0))
 	require.Equal(t, target.ID("y"), pick(b, at(10), x, y))
 	require.Equal(t, target.ID("x"), pick(b, at(10), x), "the only candidate is chosen even if it failed")
@@ -62,38 +62,38 @@
 // Failure guarded against: under overload answers take longer, a constant time-out expires before
 // all of them, and each read is sent again, which doubles the load.
 func TestTryTimeoutGrowsWithTheLatency(t *testing.T) {
-	b := NewBoard()
-	require.Equal(t, minTryTimeout, b.Patience("x", at(0)))
+	b := NewTracker()
+	require.Equal(t, minTryTimeout, b.TryTimeout("x", at(0)))
 	for i := range 60 {
 		b.Served("x", at(i), 60*time.Millisecond)
 	}
-	require.Greater(t, b.Patience("x", at(60)), 400*time.Millisecond)
+	require.Greater(t, b.TryTimeout("x", at(60)), 400*time.Millisecond)
 	for i := range 60 {
 		b.Served("x", at(100+i), time.Second)
 	}
-	require.Equal(t, maxTryTimeout, b.Patience("x", at(160)))
+	require.Equal(t, maxTryTimeout, b.TryTimeout("x", at(160)))
 }
 
 func TestRemovedTargetsAreDropped(t *testing.T) {
-	b := NewBoard()
+	b := NewTracker()
 	b.Failed("x", at(0))
-	b.Keep(func(target.ID) (int64, bool) { return 0, false })
+	b.Retain(func(target.ID) (int64, bool) { return 0, false })
 	require.Empty(t, b.records)
 }
 
 // A target fails and restarts under its id. Failures and latency of the previous incarnation must
 // not affect the new one.
 func TestRecordOfARestartedTargetIsDropped(t *testing.T) {
-	b := NewBoard()
+	b := NewTracker()
 	known := func(incarnation int64) func(target.ID) (int64, bool) {
 		return func(target.ID) (int64, bool) { return incarnation, true }
 	}
 	b.Served("x", at(0), 20*time.Millisecond)
-	b.Keep(known(7))
+	b.Retain(known(7))
 	b.Failed("x", at(1))
-	b.Keep(known(7))
+	b.Retain(known(7))
 	require.NotZero(t, b.records["x"].failedUntil)
-	b.Keep(known(8))
+	b.Retain(known(8))
 	require.Empty(t, b.records)
 }
 
@@ -101,8 +101,8 @@
 // and a read that leaves the queue after the try time-out to try the replicas again loses its place
 // each time and is never served.
 func TestPrimaryIsTheOnlyChoiceWhileReplicasLag(t *testing.T) {
-	b := NewBoard()
-	all := []Candidate{{ID: "p", Primary: true, Waiting: 30}, {ID: "r1"}, {ID: "r2"}}
+	b := NewTracker()
+	all := []Candidate{{ID: "p", Primary: true, Pending: 30}, {ID: "r1"}, {ID: "r2"}}
 	_, only := b.Choose(1, all)
 	require.False(t, only)
 	b.Lagged("r1", 1)
@@ -118,7 +118,7 @@
 // A replica that stays behind must be tried less and less often, and after the usual pause again
 // once it has served.
 func TestReplicaThatStaysBehindIsTriedLessOften(t *testing.T) {
-	b := NewBoard()
+	b := NewTracker()
 	tries, now := 0, clock.Time(1)
 	all := []Candidate{{ID: "p", Primary: true}, {ID: "r"}}
 	for range 1000 {
--- a/promoter/abandoned.go
+++ b/promoter/abandoned.go
@@ -85,7 +85,7 @@
 	s, err := a.g.Status(ctx, a.old, spending.Change, askTimeout)
 	leader := accountOf(a.old, s, err)
 	var others []takeover.Account
-	for _, t := range a.all(ctx, a.others, lane.AskStatus) {
+	for _, t := range a.all(ctx, a.others, lane.StatusCommand) {
 		o := accountOf(t.id, t.status, t.err)
 		others = append(others, o)
 		if o.Paused != 0 {
--- a/promoter/feasible.go
+++ b/promoter/feasible.go
@@ -55,7 +55,7 @@
 // what it has seen of the primary only while its own path is good.
 func (a *attempt) askOthers(ctx context.Context) ([]told, error) {
 	asked, reached := a.p.cfg.Clock.Now(), a.p.reachesOthers()
-	statuses := a.all(ctx, a.others, lane.AskStatus)
+	statuses := a.all(ctx, a.others, lane.StatusCommand)
 	took := a.p.cfg.Clock.Now().Sub(asked)
 	if reached && a.p.reachesOthers() {
 		return statuses, nil
@@ -125,7 +125,7 @@
 
 // holds reports whether a target that stays has received a position.
 func (a *attempt) holds(ctx context.Context, end timeline.Position) bool {
-	for _, s := range a.all(ctx, a.others, lane.AskStatus) {
+	for _, s := range a.all(ctx, a.others, lane.StatusCommand) {
 		t := a.p.cfg.Catalog.Load().Targets[s.id]
 		if s.err == nil && t != nil && !t.Draining && takeover.Holds(s.status.Received, end) {
 			return true
@@ -159,7 +159,7 @@
 // newest is the highest position that any replica has received.
 func (a *attempt) newest(ctx context.Context) (timeline.Position, error) {
 	var out timeline.Position
-	for _, s := range a.all(ctx, a.others, lane.AskStatus) {
+	for _, s := range a.all(ctx, a.others, lane.StatusCommand) {
 		if s.err != nil {
 			return out, errUnreachable
 		}
--- a/promoter/fence.go
+++ b/promoter/fence.go
@@ -46,10 +46,10 @@
 	if !a.reason.Planned() {
 		// Its replicas are paused next; what it still holds back is not
 		// acknowledged. Its answer is not waited for.
-		go func() { _, _ = a.g.Order(ctx, a.old, lane.AskStepDown(a.term), fenceTimeout) }()
+		go func() { _, _ = a.g.Order(ctx, a.old, lane.StepDownCommand(a.term), fenceTimeout) }()
 		return nil, nil
 	}
-	s, err := a.g.Order(ctx, a.old, lane.AskStepDown(a.term), fenceTimeout)
+	s, err := a.g.Order(ctx, a.old, lane.StepDownCommand(a.term), fenceTimeout)
 	if err != nil {
 		return nil, errors.WithMessage(err, "step down")
 	}
@@ -124,7 +124,7 @@
 	for i, f := range fenced {
 		ids[i], had[f.ID] = f.ID, f.Received
 	}
-	for _, s := range a.allOf(ctx, ids, lane.AskStatus) {
+	for _, s := range a.allOf(ctx, ids, lane.StatusCommand) {
 		switch {
 		case s.err != nil:
 			return errors.WithMessage(s.err, "ask "+string(s.id)+" again")
@@ -143,13 +143,13 @@
 // target lacks. So it is made to step down first, and one that leads in a later
 // term ends the attempt.
 func (a *attempt) pauseOne(ctx context.Context, id target.ID) told {
-	s, err := a.orderPatiently(ctx, id, lane.AskPause(a.term))
+	s, err := a.orderPatiently(ctx, id, lane.PauseCommand(a.term))
 	if err == nil && s.Role == target.RolePrimary {
 		if s.Term >= a.term-1 {
 			return told{id: id, err: errSuperseded}
 		}
-		if _, err = a.orderPatiently(ctx, id, lane.AskStepDown(a.term)); err == nil {
-			s, err = a.orderPatiently(ctx, id, lane.AskPause(a.term))
+		if _, err = a.orderPatiently(ctx, id, lane.StepDownCommand(a.term)); err == nil {
+			s, err = a.orderPatiently(ctx, id, lane.PauseCommand(a.term))
 		}
 	}
 	if err == nil && (s.Role != target.RoleReplica || s.Paused < a.term) {
--- a/promoter/guards_test.go
+++ b/promoter/guards_test.go
@@ -29,19 +29,19 @@
 	status   statement.Status
 	stubborn bool
 	dead     bool
-	orders   []lane.Ask
+	orders   []lane.Command
 }
 
-func (s *server) answer(ask lane.Ask, term timeline.Term) {
+func (s *server) answer(ask lane.Command, term timeline.Term) {
 	s.orders = append(s.orders, ask)
 	switch ask {
-	case lane.AskPause(term):
+	case lane.PauseCommand(term):
 		if s.status.Role == target.RoleReplica {
 			s.status.Paused = term
 		}
-	case lane.AskResume:
+	case lane.ResumeCommand:
 		s.status.Paused = 0
-	case lane.AskStepDown(term):
+	case lane.StepDownCommand(term):
 		if s.status.Term < term && !s.stubborn {
 			s.status.Role = target.RoleReplica
 		}
@@ -55,7 +55,7 @@
 	term    timeline.Term
 }
 
-func (a *asker) Control(_ context.Context, id target.ID, ask lane.Ask, _ time.Duration) ([]string, error) {
+func (a *asker) Control(_ context.Context, id target.ID, ask lane.Command, _ time.Duration) ([]string, error) {
 	if a.servers[id].dead {
 		return nil, errors.New("no answer")
 	}
@@ -64,7 +64,7 @@
 }
 
 func (a *asker) Recent(ctx context.Context, id target.ID, _, timeout time.Duration) ([]string, time.Duration, error) {
-	rows, err := a.Control(ctx, id, lane.AskStatus, timeout)
+	rows, err := a.Control(ctx, id, lane.StatusCommand, timeout)
 	return rows, 0, err
 }
 
@@ -88,7 +88,7 @@
 	old := &server{status: statement.Status{Role: target.RolePrimary, Term: term - 2}}
 	told := attemptOn(map[target.ID]*server{"t": old}).pauseOne(context.Background(), "t")
 	require.NoError(t, told.err)
-	require.Equal(t, []lane.Ask{lane.AskPause(term), lane.AskStepDown(term), lane.AskPause(term)}, old.orders)
+	require.Equal(t, []lane.Command{lane.PauseCommand(term), lane.StepDownCommand(term), lane.PauseCommand(term)}, old.orders)
 	require.Equal(t, timeline.Term(term), told.status.Paused)
 
 	stubborn := &server{status: statement.Status{Role: target.RolePrimary, Term: term - 2}, stubborn: true}
--- a/promoter/order.go
+++ b/promoter/order.go
@@ -20,7 +20,7 @@
 		if id == except {
 			continue
 		}
-		if _, err := a.orderPatiently(ctx, id, lane.AskResume); err != nil {
+		if _, err := a.orderPatiently(ctx, id, lane.ResumeCommand); err != nil {
 			a.p.cfg.Log.Warn("resume-unanswered", zap.String("target", string(id)), zap.Error(err))
 			a.p.chase(a.g.Service, id, a.term)
 		}
@@ -35,12 +35,12 @@
 }
 
 // all sends an order to several targets at once.
-func (a *attempt) all(ctx context.Context, targets []*catalog.Target, ask lane.Ask) []told {
+func (a *attempt) all(ctx context.Context, targets []*catalog.Target, ask lane.Command) []told {
 	return a.allOf(ctx, idsOf(targets), ask)
 }
 
 // allOf is all for targets by their ids.
-func (a *attempt) allOf(ctx context.Context, ids []target.ID, ask lane.Ask) []told {
+func (a *attempt) allOf(ctx context.Context, ids []target.ID, ask lane.Command) []told {
 	return each(ids, func(id target.ID) told {
 		s, err := a.orderPatiently(ctx, id, ask)
 		return told{id: id, status: s, err: err}
@@ -71,7 +71,7 @@
 }
 
 // orderPatiently repeats an order to a target that has no slot free.
-func (a *attempt) orderPatiently(ctx context.Context, id target.ID, ask lane.Ask) (statement.Status, error) {
+func (a *attempt) orderPatiently(ctx context.Context, id target.ID, ask lane.Command) (statement.Status, error) {
 	for try := 0; ; try++ {
 		s, err := a.g.Order(ctx, id, ask, fenceTimeout)
 		if err == nil || !lane.Answered(err) || try == maxBusy {
--- a/promoter/pursue.go
+++ b/promoter/pursue.go
@@ -70,9 +70,9 @@
 		if g.Leadership.Believed().Primary == id {
 			return
 		}
-		_, err = g.Order(ctx, id, lane.AskStepDown(term), fenceTimeout)
+		_, err = g.Order(ctx, id, lane.StepDownCommand(term), fenceTimeout)
 	case s.Paused != 0:
-		_, err = g.Order(ctx, id, lane.AskResume, fenceTimeout)
+		_, err = g.Order(ctx, id, lane.ResumeCommand, fenceTimeout)
 	default:
 		p.mu.Lock()
 		delete(p.of(g.Service).deposed, id)
--- a/relay/ask.go
+++ b/relay/ask.go
@@ -24,8 +24,8 @@
 // Failure guarded against: a change of primary is weighed for a target that is crowded,
 // and each VM of the fleet opens a connection to each target of the service for its
 // question. Connections take slots, and the target is crowded the more.
-func (a Asker) Control(ctx context.Context, id target.ID, ask lane.Ask, timeout time.Duration) ([]string, error) {
-	if ask == lane.AskStatus {
+func (a Asker) Control(ctx context.Context, id target.ID, ask lane.Command, timeout time.Duration) ([]string, error) {
+	if ask == lane.StatusCommand {
 		rows, _, err := a.Recent(ctx, id, 0, timeout)
 		return rows, err
 	}
@@ -42,14 +42,14 @@
 
 // Recent implements groups.Asker.
 func (a Asker) Recent(ctx context.Context, id target.ID, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
-	if rows, age, err := a.ask(ctx, id, lane.AskStatus, maxAge, timeout); !isGateway(err) {
+	if rows, age, err := a.ask(ctx, id, lane.StatusCommand, maxAge, timeout); !isGateway(err) {
 		return rows, age, err
 	}
 	return a.cfg.Statuses.Recent(ctx, id, maxAge, timeout)
 }
 
 // ask tries the gateways to a target; errUnreached if none of them can say.
-func (a Asker) ask(ctx context.Context, id target.ID, ask lane.Ask, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
+func (a Asker) ask(ctx context.Context, id target.ID, ask lane.Command, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
 	for _, vm := range a.route(id, "") {
 		if rows, age, err := a.askAt(ctx, vm, id, ask, maxAge, timeout); !isGateway(err) {
 			return rows, age, err
@@ -60,7 +60,7 @@
 
 // askAt asks through one gateway. Its silence is taken for its own, so that the
 // question is asked elsewhere: repeating it, or an order, does no harm.
-func (a Asker) askAt(ctx context.Context, vm catalog.VM, id target.ID, ask lane.Ask, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
+func (a Asker) askAt(ctx context.Context, vm catalog.VM, id target.ID, ask lane.Command, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
 	kind, term := ask.Encode()
 	var out *relaypb.AskReply
 	in := &relaypb.AskRequest{Target: string(id), TimeoutUs: micros(timeout), Kind: kind, Term: term, MaxAgeUs: uint64(micros(maxAge))}
--- a/relay/ask_test.go
+++ b/relay/ask_test.go
@@ -37,7 +37,7 @@
 	r.Update(gateways.NewPlan("me", c), c)
 	_, _, err := Asker{r}.Recent(context.Background(), "t", 0, time.Second)
 	require.NoError(t, err)
-	_, err = Asker{r}.Control(context.Background(), "t", lane.AskStatus, time.Second)
+	_, err = Asker{r}.Control(context.Background(), "t", lane.StatusCommand, time.Second)
 	require.NoError(t, err)
 	require.Equal(t, 2, there.count())
 	require.Zero(t, here.count())
--- a/relay/convert.go
+++ b/relay/convert.go
@@ -26,7 +26,7 @@
 
 func claim(in *relaypb.Claim, now clock.Time) dispatch.Claim {
 	return dispatch.Claim{
-		Order: lane.Order{Due: now.Add(duration(in.GetDueUs())), Priority: int(in.GetPriority()), Workspace: in.GetWorkspace()},
+		Order: lane.AcquireOptions{Due: now.Add(duration(in.GetDueUs())), Priority: int(in.GetPriority()), Workspace: in.GetWorkspace()},
 		Queue: duration(in.GetQueueUs()),
 	}
 }
@@ -113,7 +113,7 @@
 	switch {
 	case errors.As(err, &unavailable):
 		out.Kind, out.Code, out.Expired = relaypb.Failure_UNSENT, uint32(unavailable.Code), unavailable.Expired
-		out.ComeBackUs = micros(unavailable.ComeBack)
+		out.ComeBackUs = micros(unavailable.RetryAfter)
 	case errors.As(err, &setup):
 		out.Kind = relaypb.Failure_UNREADY
 	}
@@ -125,7 +125,7 @@
 	cause := errors.New(in.GetText())
 	switch in.GetKind() {
 	case relaypb.Failure_UNSENT:
-		return &lane.UnavailableError{Target: id, Code: statement.Code(in.GetCode()), Expired: in.GetExpired(), ComeBack: duration(in.GetComeBackUs()), Cause: cause}
+		return &lane.UnavailableError{Target: id, Code: statement.Code(in.GetCode()), Expired: in.GetExpired(), RetryAfter: duration(in.GetComeBackUs()), Cause: cause}
 	case relaypb.Failure_UNREADY:
 		return &dispatch.SetupError{Cause: cause}
 	case relaypb.Failure_DECLINED:
--- a/relay/convert_test.go
+++ b/relay/convert_test.go
@@ -22,10 +22,10 @@
 		After: timeline.Position{Term: 3, LSN: 9}, Commits: true, Answer: 250 * time.Millisecond,
 	}
 	in := jobOf(j, time.Second)
-	in.Claim = claimOf("s", "t", dispatch.Claim{Order: lane.Order{Due: 5000, Priority: 2}, Queue: time.Second}, 1000)
+	in.Claim = claimOf("s", "t", dispatch.Claim{Order: lane.AcquireOptions{Due: 5000, Priority: 2}, Queue: time.Second}, 1000)
 	require.Equal(t, j, job(in))
 	c := claim(in.GetClaim(), 7000)
-	require.Equal(t, lane.Order{Due: 11000, Priority: 2}, c.Order, "due as long from now as it was there")
+	require.Equal(t, lane.AcquireOptions{Due: 11000, Priority: 2}, c.Order, "due as long from now as it was there")
 }
 
 // What is known of a failure decides whether a statement may be sent again. A
@@ -37,10 +37,10 @@
 	require.Empty(t, l.Gateway, "the target is to blame")
 	require.False(t, mayPass(lost))
 
-	full := failure(failureOf(&lane.UnavailableError{Target: "t", ComeBack: 40 * time.Millisecond, Cause: errors.New("busy")}), "t")
+	full := failure(failureOf(&lane.UnavailableError{Target: "t", RetryAfter: 40 * time.Millisecond, Cause: errors.New("busy")}), "t")
 	var u *lane.UnavailableError
 	require.ErrorAs(t, full, &u)
-	require.Equal(t, 40*time.Millisecond, u.ComeBack)
+	require.Equal(t, 40*time.Millisecond, u.RetryAfter)
 	require.False(t, mayPass(full), "another gateway has no more time")
 
 	away := failureOf(&lane.UnavailableError{Target: "t", Cause: syscall.ECONNREFUSED})
--- a/relay/server.go
+++ b/relay/server.go
@@ -190,7 +190,7 @@
 // Ask implements relaypb.Relay.
 func (s *Server) Ask(ctx context.Context, in *relaypb.AskRequest) (*relaypb.AskReply, error) {
 	id := target.ID(in.GetTarget())
-	ask, known := lane.DecodeAsk(in.GetKind(), in.GetTerm())
+	ask, known := lane.DecodeCommand(in.GetKind(), in.GetTerm())
 	if !known || !s.cfg.Serves(id) {
 		return &relaypb.AskReply{Failure: declined}, nil
 	}
@@ -206,9 +206,9 @@
 	}
 }
 
-func (s *Server) ask(ctx context.Context, id target.ID, ask lane.Ask, in *relaypb.AskRequest) ([]string, time.Duration, error) {
+func (s *Server) ask(ctx context.Context, id target.ID, ask lane.Command, in *relaypb.AskRequest) ([]string, time.Duration, error) {
 	timeout := duration(in.GetTimeoutUs())
-	if ask == lane.AskStatus {
+	if ask == lane.StatusCommand {
 		return s.cfg.Statuses.Recent(ctx, id, duration(int64(in.GetMaxAgeUs())), timeout)
 	}
 	rows, err := s.cfg.Asker.Control(ctx, id, ask, timeout)
--- a/relay/server_test.go
+++ b/relay/server_test.go
@@ -38,7 +38,7 @@
 
 func (t *slowTransaction) Target() target.ID { return "t" }
 
-func (t *slowTransaction) Run(context.Context, lane.Order, *dispatch.Job) (*dispatch.Result, error) {
+func (t *slowTransaction) Run(context.Context, lane.AcquireOptions, *dispatch.Job) (*dispatch.Result, error) {
 	t.running <- struct{}{}
 	<-t.goOn
 	return &dispatch.Result{Answer: &statement.Answer{State: statement.InTransaction}}, nil
--- a/relay/statuses.go
+++ b/relay/statuses.go
@@ -29,7 +29,7 @@
 
 // Controller sends a target one of the fleet's questions or orders.
 type Controller interface {
-	Control(ctx context.Context, id target.ID, ask lane.Ask, timeout time.Duration) ([]string, error)
+	Control(ctx context.Context, id target.ID, ask lane.Command, timeout time.Duration) ([]string, error)
 }
 
 // account is what a target last said, and the latest question.
@@ -86,7 +86,7 @@
 func (s *Statuses) ask(id target.ID, a *account, q *asking, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	q.rows, q.err = s.ctl.Control(ctx, id, lane.AskStatus, timeout)
+	q.rows, q.err = s.ctl.Control(ctx, id, lane.StatusCommand, timeout)
 	s.mu.Lock()
 	if q.err == nil && q.sent >= a.sent {
 		a.rows, a.sent = q.rows, q.sent
--- a/relay/statuses_test.go
+++ b/relay/statuses_test.go
@@ -45,7 +45,7 @@
 
 const talks = 10 * time.Millisecond
 
-func (k *talker) Control(_ context.Context, id target.ID, _ lane.Ask, _ time.Duration) ([]string, error) {
+func (k *talker) Control(_ context.Context, id target.ID, _ lane.Command, _ time.Duration) ([]string, error) {
 	k.mu.Lock()
 	k.asked++
 	err := k.err
--- a/relay/transaction.go
+++ b/relay/transaction.go
@@ -87,7 +87,7 @@
 
 // Run implements dispatch.Transaction. The gateway itself gives the connection
 // back once the transaction has ended.
-func (t *transaction) Run(ctx context.Context, o lane.Order, j *dispatch.Job) (*dispatch.Result, error) {
+func (t *transaction) Run(ctx context.Context, o lane.AcquireOptions, j *dispatch.Job) (*dispatch.Result, error) {
 	left := leftOf(ctx)
 	in := jobOf(j, left)
 	in.Transaction = t.number
