--- a/failover/action.go
+++ b/failover/action.go
@@ -8,19 +8,19 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// Action is what Machine.Step asks its driver to do.
+// Action is a request from Machine.Step to its driver.
 type Action interface{ action() }
 
-// Probe asks a server for its Status. A probe is sent although the one before
-// is not answered yet, so the driver must not queue them on one connection
-// behind each other for longer than Config.ProbeTimeout.
+// Probe queries a server's Status. The Machine emits a probe even if the previous one has not been
+// answered, so the driver must not queue probes behind each other on one connection for longer than
+// Config.ProbeTimeout.
 type Probe struct {
 	Server target.ID
 	Asked  clock.Time
 }
 
-// AskPeers asks VMs of every availability zone what they know of a server. A
-// peer that has no evidence of its own probes the server before it answers.
+// QueryPeers queries VMs of every availability zone for their evidence of a server. A peer that has
+// no evidence of its own probes the server before it replies.
 type AskPeers struct {
 	Server target.ID
 	Asked  clock.Time
@@ -31,8 +31,8 @@
 	Asked clock.Time
 }
 
-// RenewLease writes the object "leases/<group>", with Holder in it, if it has
-// the version ExpectVersion (0: absent).
+// RenewLease writes Holder to the object "leases/<group>" if the object has the version
+// ExpectVersion (0: the object does not exist).
 type RenewLease struct {
 	Holder        string
 	ExpectVersion store.Version
@@ -42,49 +42,49 @@
 // ReadGroup reads the object "groups/<name>".
 type ReadGroup struct{}
 
-// Reserve writes Group to the object "groups/<name>" if that has the version
-// ExpectVersion. It reserves the terms up to Group.Reserved.
+// Reserve writes Group to the object "groups/<name>" if the object has the version ExpectVersion.
+// The write reserves the terms up to Group.Reserved.
 type Reserve struct {
 	Group         view.Group
 	ExpectVersion store.Version
 }
 
-// Publish writes Group to the object "groups/<name>" if that has the version
-// ExpectVersion. It makes a promotion lasting.
+// Publish writes Group to the object "groups/<name>" if the object has the version ExpectVersion.
+// The write makes a promotion durable.
 type Publish struct {
 	Group         view.Group
 	ExpectVersion store.Version
 }
 
-// Fence orders target.Database.Fence.
+// Fence calls target.Database.Fence on a server.
 type Fence struct {
 	Server target.ID
 	Term   timeline.Term
 }
 
-// Promote orders target.Database.Promote.
+// Promote calls target.Database.Promote on a server.
 type Promote struct {
 	Server target.ID
 	Term   timeline.Term
 }
 
-// Follow orders target.Database.Follow.
+// Follow calls target.Database.Follow on a server.
 type Follow struct {
 	Server target.ID
-	// Primary is the id, and Addr the address, of the server to follow.
+	// Primary and Addr are the id and address of the server to follow.
 	Primary target.ID
 	Addr    string
 	Term    timeline.Term
 }
 
-// Announce tells this VM's own view and its peers of a promotion, at once and
-// also when the store is down. It is repeated until the store has it.
+// Announce passes a promotion to this VM's own view and to its peers, immediately and even while
+// the store is unavailable. It is repeated until the store has the promotion.
 type Announce struct {
 	Group view.Group
 }
 
-// Record adds an entry to the audit trail. With the store down the driver keeps
-// it until it can be written.
+// Record adds an entry to the audit trail. While the store is unavailable, the driver buffers the
+// entry until it can be written.
 type Record struct {
 	Entry Entry
 }
--- a/failover/attempt.go
+++ b/failover/attempt.go
@@ -10,34 +10,34 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// attempt is one try to give the group a primary, in one term.
+// attempt is one promotion attempt, in one term.
 type attempt struct {
-	term    timeline.Term
-	started clock.Time
-	old     target.ID // primary before the attempt
-	planned bool      // a planned change: the old primary is fenced first
-	exclude target.ID // not to be promoted; empty if none
-	fenced  map[target.ID]target.Status
-	orderAt map[target.ID]clock.Time // when an unanswered order is repeated
+	term       timeline.Term
+	started    clock.Time
+	oldPrimary target.ID // primary when the attempt started
+	planned    bool      // planned change of primary: the old primary is fenced first
+	excluded   target.ID // server that must not be promoted; empty if none
+	fenced     map[target.ID]target.Status
+	commandAt  map[target.ID]clock.Time // when an unanswered command is repeated
 
-	candidate  target.ID  // empty until a majority has promised
-	promisedAt clock.Time // when a majority had; 0 before
+	candidate  target.ID  // empty until a majority has promised the term the term
+	promisedAt clock.Time // when a majority had promised the term; 0 before
 	chosenAt   clock.Time
 }
 
-// startAttempt uses up the term.
+// startAttempt starts a promotion attempt and marks the term as used.
 func (m *Machine) startAttempt(term timeline.Term, reason string) {
 	m.terms.used = term
 	m.attempt = &attempt{
-		term:    term,
-		started: m.now,
-		old:     m.group.Primary,
-		planned: m.relieve != "" && !m.primarySilent(),
-		fenced:  make(map[target.ID]target.Status),
-		orderAt: make(map[target.ID]clock.Time),
+		term:       term,
+		started:    m.now,
+		oldPrimary: m.group.Primary,
+		planned:    m.handoverFrom != "" && !m.primaryUnresponsive(),
+		fenced:     make(map[target.ID]target.Status),
+		commandAt:  make(map[target.ID]clock.Time),
 	}
 	if reason == reasonIsolated {
-		m.attempt.exclude = m.group.Primary
+		m.attempt.excluded = m.group.Primary
 	}
 	m.phase = PhaseFencing
 	m.record(Entry{Step: StepStarted, Term: term, Server: m.group.Primary, Reason: reason})
@@ -45,10 +45,10 @@
 		m.phase = PhaseHandover
 		m.record(Entry{Step: StepHandover, Term: term, Server: m.group.Primary})
 	}
-	m.order()
+	m.sendCommands()
 }
 
-// tickAttempt repeats orders whose answer is overdue.
+// tickAttempt repeats commands whose answers are overdue and ends an attempt that has timed out.
 func (m *Machine) tickAttempt() {
 	a := m.attempt
 	if a == nil {
@@ -62,57 +62,58 @@
 		m.giveUpFencing()
 		return
 	}
-	m.order()
+	m.sendCommands()
 }
 
 // giveUpFencing ends an attempt that no server has answered.
 //
-// The failure: a VM is cut off just as it starts, its orders wait, and when the
-// cut ends minutes later it fences a group that has long been well. What a lost
-// order may have fenced is found by the probes, and ended as stranded.
+// Failure guarded against: a VM is partitioned from the servers just as it starts an attempt and
+// its commands stay queued. When the partition ends minutes later, the commands fence a group that
+// has long recovered. A server that an unanswered command did fence is found by the probes and
+// handled by fencedWithoutPrimary.
 func (m *Machine) giveUpFencing() {
 	m.record(Entry{Step: StepGivenUp, Term: m.attempt.term, Reason: "no server answered"})
-	m.abandon()
-	m.agreed = 0
+	m.abandonAttempt()
+	m.agreedAt = 0
 }
 
-// order sends the orders of the present phase that are due.
-func (m *Machine) order() {
+// sendCommands sends the commands of the current phase that are due.
+func (m *Machine) sendCommands() {
 	a := m.attempt
 	switch m.phase {
 	case PhaseHandover:
-		m.orderFence(a.old)
+		m.sendFence(a.oldPrimary)
 	case PhaseFencing:
 		for _, s := range m.group.Servers {
-			m.orderFence(s.ID)
+			m.sendFence(s.ID)
 		}
 	case PhasePromoting:
-		if m.orderDue(a.candidate) {
-			m.do(Promote{Server: a.candidate, Term: a.term})
+		if m.commandDue(a.candidate) {
+			m.emit(Promote{Server: a.candidate, Term: a.term})
 		}
 	}
 }
 
-func (m *Machine) orderFence(id target.ID) {
+func (m *Machine) sendFence(id target.ID) {
 	a := m.attempt
-	if _, ok := a.fenced[id]; ok || !m.orderDue(id) {
+	if _, ok := a.fenced[id]; ok || !m.commandDue(id) {
 		return
 	}
-	m.do(Fence{Server: id, Term: a.term})
+	m.emit(Fence{Server: id, Term: a.term})
 }
 
-// orderDue reports whether a server may be sent an order now, and counts it as
-// sent.
-func (m *Machine) orderDue(id target.ID) bool {
+// commandDue reports whether a command may be sent to a server now. If so, it also schedules the
+// command's repetition.
+func (m *Machine) commandDue(id target.ID) bool {
 	a := m.attempt
-	if m.now.Before(a.orderAt[id]) {
+	if m.now.Before(a.commandAt[id]) {
 		return false
 	}
-	a.orderAt[id] = m.now.Add(m.cfg.OrderRetry)
+	a.commandAt[id] = m.now.Add(m.cfg.OrderRetry)
 	return true
 }
 
-// advanceAttempt goes on to the next phase when it can.
+// advanceAttempt enters the next phase once its conditions are met.
 func (m *Machine) advanceAttempt() {
 	switch m.phase {
 	case PhaseHandover:
@@ -122,27 +123,27 @@
 	}
 }
 
-// advanceHandover waits until a replica has all that the fenced primary
-// committed, and only then fences the replicas, which stops their replication.
+// advanceHandover waits until a replica has everything that the fenced primary committed. Only then
+// does it fence the replicas, which stops their replication.
 //
-// The failure: fencing all at once would leave the replicas short of the last
-// writes; promoting one of them would lose writes that were witnessed. The
-// primary's position is final once it has promised the term.
+// Failure guarded against: if all servers are fenced at once, the replicas lack the last writes,
+// and promoting one of them loses writes that were witnessed. The primary's position is final once
+// it has promised the term.
 func (m *Machine) advanceHandover() {
 	a := m.attempt
-	end, fenced := a.fenced[a.old]
-	late := m.now.Sub(a.started) >= m.cfg.HandoverTimeout
-	if !late && !(fenced && m.caughtUp(end)) {
+	end, fenced := a.fenced[a.oldPrimary]
+	timedOut := m.now.Sub(a.started) >= m.cfg.HandoverTimeout
+	if !timedOut && !(fenced && m.replicaCaughtUp(end)) {
 		return
 	}
 	m.phase = PhaseFencing
-	m.order()
+	m.sendCommands()
 }
 
-// caughtUp reports whether a replica has reached the old primary's end.
-func (m *Machine) caughtUp(end target.Status) bool {
+// replicaCaughtUp reports whether a replica has reached the end of the old primary's log.
+func (m *Machine) replicaCaughtUp(end target.Status) bool {
 	for id, s := range m.servers {
-		if id == m.attempt.old || !s.seen || m.silent(s) {
+		if id == m.attempt.oldPrimary || !s.seen || m.unresponsive(s) {
 			continue
 		}
 		if s.status.Term == end.Term && s.status.LSN >= end.LSN {
@@ -152,18 +153,18 @@
 	return false
 }
 
-// advanceFencing chooses the candidate once a majority has promised.
+// advanceFencing chooses the candidate once a majority has promised the term.
 //
-// The failure: with fewer promises a write could be confirmed by servers that
-// the promoter never asked, and be lost. With one server left this waits; it
-// never guesses.
+// Failure guarded against: with fewer promises, a write may have been confirmed only by servers
+// that the promoter did not fence, and the promotion would lose it. While only one server is
+// available, advanceFencing keeps waiting instead of choosing without a majority.
 func (m *Machine) advanceFencing() {
 	a := m.attempt
 	need := m.majority()
 	if m.cfg.Guards.Out(GuardMajority) {
 		need = 1
 	}
-	if m.eligible() < need || !m.replicaReady() {
+	if m.eligibleCount() < need || !m.replicaReady() {
 		return
 	}
 	if a.promisedAt == 0 {
@@ -172,12 +173,12 @@
 	if m.now.Sub(a.promisedAt) < m.cfg.PromoteDelay {
 		return
 	}
-	a.candidate = m.choose()
+	a.candidate = m.chooseCandidate()
 	a.chosenAt = m.now
-	clear(a.orderAt)
+	clear(a.commandAt)
 	m.phase = PhasePromoting
 	m.record(Entry{Step: StepFenced, Term: a.term, Server: a.candidate})
-	m.order()
+	m.sendCommands()
 }
 
 func (m *Machine) onFenceAnswered(ev FenceAnswered) {
@@ -186,7 +187,7 @@
 		return
 	}
 	if ev.Err != nil {
-		m.onOrderError(ev.Server, ev.Err)
+		m.onCommandError(ev.Server, ev.Err)
 		return
 	}
 	if m.group.Server(ev.Server) == nil || a.candidate != "" {
@@ -201,37 +202,37 @@
 		return
 	}
 	if ev.Err != nil {
-		m.onOrderError(ev.Server, ev.Err)
+		m.onCommandError(ev.Server, ev.Err)
 		return
 	}
 	m.finish(ev.Status)
 }
 
-// onOrderError steps back when the order was refused; other failures are
-// repeated by tickAttempt.
-func (m *Machine) onOrderError(id target.ID, err error) {
+// onCommandError ends the attempt and backs off if the server refused the command. After any other
+// failure tickAttempt repeats the command.
+func (m *Machine) onCommandError(id target.ID, err error) {
 	var fenced *target.FencedError
 	if !errors.As(err, &fenced) {
 		return
 	}
 	m.promised = max(m.promised, fenced.Promised)
 	m.record(Entry{Step: StepSteppedBack, Term: m.attempt.term, Server: id, Reason: err.Error()})
-	m.abandon()
-	m.agreed = 0
+	m.abandonAttempt()
+	m.agreedAt = 0
 	m.backOff()
 }
 
-// giveUpCandidate ends the attempt of a candidate that does not answer. It may
-// have been promoted all the same, so its term is never given to another.
+// giveUpCandidate ends an attempt whose candidate does not answer. The candidate may have been
+// promoted nevertheless, so the term is never used for another server.
 //
-// The failure: two servers promoted in one term would both take the other's
-// writes for their own. The next candidate gets the next term.
+// Failure guarded against: two servers promoted in one term would each accept the other's writes as
+// their own. The next candidate therefore gets the next term.
 func (m *Machine) giveUpCandidate() {
 	a := m.attempt
 	if m.cfg.Guards.Out(GuardOneCandidate) {
 		delete(a.fenced, a.candidate)
 		a.candidate = ""
-		a.old = ""
+		a.oldPrimary = ""
 		m.phase = PhaseFencing
 		return
 	}
@@ -240,21 +241,21 @@
 		s.missed = max(s.missed, m.cfg.MissedProbes)
 	}
 	if _, ok := m.usableTerm(); !ok && m.store.down {
-		// No other term can be had now: keep asking the same candidate.
+		// No other term is available now: keep commanding the same candidate.
 		a.chosenAt = m.now
-		m.order()
+		m.sendCommands()
 		return
 	}
-	m.abandon()
+	m.abandonAttempt()
 }
 
-func (m *Machine) abandon() {
+func (m *Machine) abandonAttempt() {
 	m.attempt = nil
 	m.phase = PhaseSuspecting
 }
 
-// backOff waits before the next attempt, so that two VMs that refuse each
-// other's terms do not go on doing so.
+// backOff delays the next attempt by a random time, so that two VMs whose concurrent promotion
+// attempts supersede each other do not continue to do so.
 func (m *Machine) backOff() {
 	m.backoff = min(max(2*m.backoff, m.cfg.BackoffMin), m.cfg.BackoffMax)
 	half := m.backoff / 2
@@ -262,33 +263,34 @@
 	m.retryAt = m.now.Add(wait)
 }
 
-// finish makes the candidate the group's primary and tells everybody.
+// finish makes the candidate the group's primary, publishes and announces it, and commands the
+// other servers to follow it.
 func (m *Machine) finish(st target.Status) {
 	a := m.attempt
 	m.phase = PhaseWatching
 	m.attempt = nil
 	m.backoff = 0
-	m.relieve = ""
+	m.handoverFrom = ""
 	m.startTerm()
 	prior := a.fenced[a.candidate]
-	m.learnBranch(prior)
-	m.setPrimary(a.candidate, a.term, startOf(prior, st.Start, m.group.History))
+	m.addUnannouncedTerm(prior)
+	m.setPrimary(a.candidate, a.term, termStart(prior, st.Start, m.group.History))
 	m.record(Entry{Step: StepPromoted, Term: a.term, Server: a.candidate})
-	m.noteAlive(a.candidate, st)
+	m.recordCommandAnswer(a.candidate, st)
 	m.store.announceAt = m.now
 	m.publish()
 	m.followAll()
 }
 
-// learnBranch adds the start of the term that the candidate's log is of, if its
-// promoter died before it could tell anybody.
-func (m *Machine) learnBranch(prior target.Status) {
+// addUnannouncedTerm adds the start of the term of the candidate's log to the history if the
+// promoter of that term died before it announced the promotion.
+func (m *Machine) addUnannouncedTerm(prior target.Status) {
 	if prior.Term > m.group.History.Last().Term && prior.LSN >= prior.Start {
 		m.group.History = m.group.History.Append(timeline.Start{Term: prior.Term, LSN: prior.Start})
 	}
 }
 
-// setPrimary changes the group to a new term.
+// setPrimary moves the group to a new term with a new primary.
 func (m *Machine) setPrimary(id target.ID, term timeline.Term, start timeline.LSN) {
 	m.group.Primary = id
 	m.group.Term = term
@@ -296,40 +298,41 @@
 	m.group.History = m.group.History.Append(timeline.Start{Term: term, LSN: start})
 }
 
-// noteAlive takes an answer to an order for evidence of life. The watch for the
-// new primary's silence begins now.
-func (m *Machine) noteAlive(id target.ID, st target.Status) {
+// recordCommandAnswer records an answer to a command as evidence that the server is responsive. The
+// time that the new primary may be unresponsive counts from now.
+func (m *Machine) recordCommandAnswer(id target.ID, st target.Status) {
 	s := m.servers[id]
 	if s == nil {
 		return
 	}
 	s.seen = true
-	s.good = max(s.good, m.now)
+	s.lastGood = max(s.lastGood, m.now)
 	s.missed = 0
-	s.missedAsked = m.now
-	m.noteStatus(s, st)
+	s.lastMissed = m.now
+	m.recordStatus(s, st)
 }
 
-// startTerm forgets what was observed of the term before.
+// startTerm discards observations of the previous term.
 func (m *Machine) startTerm() {
-	m.agreed = 0
-	m.blocked = 0
-	m.stranded = 0
-	m.termAt = m.now
+	m.agreedAt = 0
+	m.primaryFencedSince = 0
+	m.serverFencedSince = 0
+	m.termLearnedAt = m.now
 	for _, s := range m.servers {
-		s.behind, s.astray, s.cutOff = 0, 0, false
+		s.stalledSince, s.notFollowingSince, s.followFailed = 0, 0, false
 		s.followAt = 0
 	}
 }
 
-// onNewTerm gives up an attempt that another VM was faster with.
+// onNewTerm resets the observation for a new term and ends an attempt that another VM's promotion
+// has superseded.
 func (m *Machine) onNewTerm() {
 	m.startTerm()
 	delete(m.reports, m.group.Primary)
 	if s := m.servers[m.group.Primary]; s != nil {
-		s.good = max(s.good, m.now)
+		s.lastGood = max(s.lastGood, m.now)
 		s.missed = 0
-		s.missedAsked = m.now
+		s.lastMissed = m.now
 	}
 	if a := m.attempt; a != nil && a.term <= m.group.Term {
 		m.attempt = nil
@@ -338,13 +341,13 @@
 		m.phase = PhaseWatching
 		m.backoff = 0
 	}
-	if g := m.group; g.Primary != m.relieve {
-		m.relieve = ""
+	if g := m.group; g.Primary != m.handoverFrom {
+		m.handoverFrom = ""
 	}
 }
 
 func (m *Machine) onRelieve(ev Relieve) {
 	if ev.Server == m.group.Primary {
-		m.relieve = ev.Server
+		m.handoverFrom = ev.Server
 	}
 }
--- a/failover/entry.go
+++ b/failover/entry.go
@@ -7,67 +7,67 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// Step names a transition of the Machine. The names are stable: they appear in
-// the audit trail and are the columns of the fault matrix.
+// Step names a transition of the Machine. The names are stable: they appear in the audit trail and
+// are the columns of the fault matrix.
 type Step string
 
 // Steps in the order of a promotion.
 const (
-	// StepSuspected: the primary's probes are not answered.
+	// StepSuspected: the primary does not answer probes.
 	StepSuspected Step = "suspected"
-	// StepCleared: it answers again, and no promotion was started.
+	// StepCleared: the primary answers again, and no promotion attempt was started.
 	StepCleared Step = "cleared"
-	// StepReserved: the store has given terms to this VM.
+	// StepReserved: the store has reserved terms for this VM.
 	StepReserved Step = "reserved"
-	// StepStarted: an attempt in a term begins.
+	// StepStarted: a promotion attempt begins.
 	StepStarted Step = "started"
-	// StepHandover: a planned change has fenced the primary, and waits for a
-	// replica to reach the primary's last position.
+	// StepHandover: a planned change fences the primary and waits for a replica to reach the
+	// primary's last position.
 	StepHandover Step = "handover"
 	// StepFenced: a majority has promised the term.
 	StepFenced Step = "fenced"
-	// StepPromoted: the candidate is primary of the term.
+	// StepPromoted: the candidate is the primary of the term.
 	StepPromoted Step = "promoted"
-	// StepPublished: the store holds the new primary.
+	// StepPublished: the store has the new primary.
 	StepPublished Step = "published"
-	// StepFollowing: a server follows the new primary; Discarded lists what it
+	// StepFollowing: a server follows the new primary; Discarded lists the entries that the server
 	// had beyond the term's start.
 	StepFollowing Step = "following"
-	// StepSteppedBack: a server has promised a later term to another VM.
+	// StepSteppedBack: the attempt ended because a server has promised a later term to another VM.
 	StepSteppedBack Step = "stepped-back"
-	// StepCandidateLost: the candidate did not answer; the next term is due.
+	// StepCandidateLost: the candidate did not answer, so the next term is due.
 	StepCandidateLost Step = "candidate-lost"
 	// StepGivenUp: no server answered an attempt.
 	StepGivenUp Step = "given-up"
-	// StepAdopted: a primary of a later term was found that nobody announced.
+	// StepAdopted: an unannounced primary of a later term was found.
 	StepAdopted Step = "adopted"
-	// StepRepaired: a server that follows nobody was told to follow.
+	// StepRepaired: a server that did not replicate from the primary was commanded to follow it.
 	StepRepaired Step = "repaired"
 )
 
-// Entry is one act for the audit trail, with the evidence as it was.
+// Entry is one audit record, with the evidence at the time of the step.
 type Entry struct {
 	Step   Step
 	Group  string
 	VM     string
 	Term   timeline.Term
 	Server target.ID
-	// Reason is for people.
+	// Reason is a human-readable explanation.
 	Reason string
-	// Evidence holds what was known of the servers, own and peers'.
+	// Evidence lists the observations of the servers, by this VM and by its peers.
 	Evidence []Evidence
-	// Discarded lists what Server dropped when it was rewound.
+	// Discarded lists the entries that Server discarded when it was rewound.
 	Discarded []target.Entry
 }
 
-// Evidence is what one VM knew of one server.
+// Evidence is one VM's newest observation of one server.
 type Evidence struct {
 	VM     string
 	Zone   string
 	Server target.ID
-	// Silent is true when the server had not answered for too long.
+	// Silent reports whether the VM considered the server unresponsive.
 	Silent bool
-	// Age is the age of the newest good answer.
+	// Age is the age of the newest successful answer.
 	Age    time.Duration
 	Status target.Status
 }
--- a/failover/event.go
+++ b/failover/event.go
@@ -10,24 +10,23 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// Event is what a driver passes to Machine.Step. The error fields of events
-// hold the errors that packages platform and target document; wrapping them is
-// allowed.
+// Event is the input that a driver passes to Machine.Step. The error fields of events contain the
+// errors that packages platform and target document, possibly wrapped.
 type Event interface{ event() }
 
-// Tick says that time has passed. It is due every Config.Tick; a longer gap
-// tells the Machine that its own process was paused.
+// Tick signals that time has passed. It is due every Config.Tick; from a longer gap the Machine
+// concludes that its own process was paused.
 type Tick struct{}
 
 // ProbeAnswered is a server's answer to a Probe.
 type ProbeAnswered struct {
 	Server target.ID
-	// Asked is when the probe was sent: the evidence is of that time.
+	// Asked is when the probe was sent; the evidence is as of that time.
 	Asked  clock.Time
 	Status target.Status
 }
 
-// ProbeFailed says that a probe was refused, or not answered in time.
+// ProbeFailed reports that a probe was refused or timed out.
 type ProbeFailed struct {
 	Server target.ID
 	Asked  clock.Time
@@ -38,20 +37,20 @@
 	// VM and Zone are the reporting VM and its availability zone.
 	VM, Zone string
 	Server   target.ID
-	// Asked is when this VM sent the question, on its own clock.
+	// Asked is when this VM sent the query, on its own clock.
 	Asked clock.Time
-	// Seen is false when the peer has never had an answer from the server, or
-	// has not watched it for long enough to tell.
+	// Seen is false if the peer has never received an answer from the server, or has not observed
+	// it for long enough to report on it.
 	Seen bool
-	// LastGood is the age of the peer's newest good answer from the server,
-	// when the peer reported.
+	// LastGood is the age of the peer's newest successful answer from the server at the time of
+	// the report.
 	LastGood time.Duration
-	// Status is that answer.
+	// Status is the status in that answer.
 	Status target.Status
 }
 
-// GroupLearned is the group's object as read or watched in the store, or, with
-// Version 0, as a peer announced it. A failed ReadGroup reports Err alone.
+// GroupLearned carries the group's object as read from or watched in the store or, with Version 0,
+// as announced by a peer. After a failed ReadGroup only Err is set.
 type GroupLearned struct {
 	Group   view.Group
 	Version store.Version
@@ -60,15 +59,14 @@
 
 // LeaseResult answers ReadLease and RenewLease.
 type LeaseResult struct {
-	// Holder is the incarnation in the lease object after the call; empty if
-	// there is none.
+	// Holder is the incarnation in the lease object after the call; empty if there is none.
 	Holder string
 	// Version is the lease object's version after the call.
 	Version store.Version
-	// Asked is the time that the action carried.
+	// Asked is the action's Asked.
 	Asked clock.Time
-	// Err is nil, or a failure of the store. A driver that loses a RenewLease
-	// to a *store.ConflictError may report the error as it is.
+	// Err is nil or a failure of the store. A driver whose RenewLease fails with a
+	// *store.ConflictError may report that error unchanged.
 	Err error
 }
 
@@ -85,7 +83,7 @@
 type FenceAnswered struct {
 	Server target.ID
 	Term   timeline.Term
-	// Status is the server's account of itself after its promise.
+	// Status is the server's status report after its promise.
 	Status target.Status
 	Err    error
 }
@@ -115,8 +113,8 @@
 	Err     error
 }
 
-// Relieve asks for a planned change of primary away from Server, because it is
-// to be drained. It is ignored when Server is not the primary.
+// HandoverRequested requests a planned change of primary away from Server, which is to be drained.
+// It is ignored if Server is not the primary.
 type Relieve struct {
 	Server target.ID
 }
--- a/failover/evidence.go
+++ b/failover/evidence.go
@@ -12,55 +12,55 @@
 
 // serverState is this VM's own evidence of one server.
 type serverState struct {
-	probeAt     clock.Time // when the next probe is due
-	good        clock.Time // when the newest answered probe was sent
-	seen        bool       // an answer came since the observation began
-	missed      int        // failed probes since the newest answer
-	missedAsked clock.Time // when the newest failed probe was sent
-	status      target.Status
-	behind      clock.Time    // since when it stands still behind its primary; 0 if it does not
-	cutOff      bool          // it was told to follow since then, and could not reach its primary
-	astray      clock.Time    // since when it does not follow its primary; 0 if it does
-	followAt    clock.Time    // when Follow may be ordered again
-	followed    timeline.Term // newest term in which it confirmed to follow
+	probeAt           clock.Time // when the next probe is due
+	lastGood          clock.Time // when the newest answered probe was sent
+	seen              bool       // the server has answered since the observation began
+	missed            int        // failed probes since the newest answer
+	lastMissed        clock.Time // when the newest failed probe was sent
+	status            target.Status
+	stalledSince      clock.Time    // since when it makes no progress behind its primary; 0 if it does
+	followFailed      bool          // its last Follow since then failed: it could not reach its primary
+	notFollowingSince clock.Time    // since when it does not follow its primary; 0 if it does
+	followAt          clock.Time    // when Follow may be sent again
+	followed          timeline.Term // newest term for which it confirmed a Follow
 }
 
-// resetServers begins the observation of servers that are new in the group.
+// resetServers begins the observation of servers that are new in the group and drops removed ones.
 func (m *Machine) resetServers() {
 	for _, s := range m.group.Servers {
 		if m.servers[s.ID] == nil {
-			m.servers[s.ID] = &serverState{good: m.now.Add(m.cfg.StartupGrace)}
+			m.servers[s.ID] = &serverState{lastGood: m.now.Add(m.cfg.StartupGrace)}
 		}
 	}
 	maps.DeleteFunc(m.servers, func(id target.ID, _ *serverState) bool { return m.group.Server(id) == nil })
 }
 
-// doubtAfterPause starts all observation anew when this process was paused.
+// resetAfterPause restarts all observation if this process was paused.
 //
-// The failure: a VM that was stopped for seconds wakes, finds its newest
-// answers seconds old and takes every server for dead, although it was itself
-// that was silent. It would show as a promotion over a healthy primary. Ticks
-// that stay out longer than half the time to suspect reveal the pause; the
-// silence then counts from the wake-up.
-func (m *Machine) doubtAfterPause() {
-	if m.ticked == 0 || m.now.Sub(m.ticked) < m.cfg.SuspectAfter/2 {
+// Failure guarded against: a VM that was stopped for seconds resumes, finds that its newest answers
+// are seconds old and considers every server dead, although only the VM itself was unresponsive.
+// The VM would then promote a server while the primary is healthy. A gap between ticks of at least
+// half of SuspectAfter indicates a pause; the time without an answer then counts from the
+// resumption.
+func (m *Machine) resetAfterPause() {
+	if m.lastTick == 0 || m.now.Sub(m.lastTick) < m.cfg.SuspectAfter/2 {
 		return
 	}
 	if m.cfg.Guards.Out(GuardPause) {
 		return
 	}
 	for _, s := range m.servers {
-		s.good = max(s.good, m.now)
+		s.lastGood = max(s.lastGood, m.now)
 		s.missed = 0
-		s.missedAsked = m.now
-		s.behind = 0
-		s.cutOff = false
-		s.astray = 0
+		s.lastMissed = m.now
+		s.stalledSince = 0
+		s.followFailed = false
+		s.notFollowingSince = 0
 	}
 	clear(m.reports)
-	m.agreed = 0
-	m.blocked = 0
-	m.stranded = 0
+	m.agreedAt = 0
+	m.primaryFencedSince = 0
+	m.serverFencedSince = 0
 }
 
 func (m *Machine) tickProbes() {
@@ -70,12 +70,12 @@
 			continue
 		}
 		st.probeAt = m.now.Add(m.heartbeat())
-		m.do(Probe{Server: s.ID, Asked: m.now})
+		m.emit(Probe{Server: s.ID, Asked: m.now})
 	}
 }
 
-// heartbeat is the interval between probes. A planned change waits for a
-// replica's position, so it looks more often.
+// heartbeat returns the interval between probes. It is shorter during a planned change, which waits
+// for a replica's position.
 func (m *Machine) heartbeat() time.Duration {
 	if m.phase == PhaseHandover {
 		return m.cfg.Tick
@@ -88,47 +88,47 @@
 	if s == nil {
 		return
 	}
-	m.notePromise(ev.Status)
-	// A late or repeated answer is no newer evidence than the one we have.
-	if s.seen && !ev.Asked.After(s.good) {
+	m.recordPromise(ev.Status)
+	// A late or duplicate answer is no newer than the recorded evidence.
+	if s.seen && !ev.Asked.After(s.lastGood) {
 		return
 	}
 	s.seen = true
-	s.good = ev.Asked
-	if ev.Asked.After(s.missedAsked) {
+	s.lastGood = ev.Asked
+	if ev.Asked.After(s.lastMissed) {
 		s.missed = 0
 	}
-	m.noteStatus(s, ev.Status)
+	m.recordStatus(s, ev.Status)
 }
 
 func (m *Machine) onProbeFailed(ev ProbeFailed) {
 	s := m.servers[ev.Server]
-	if s == nil || !ev.Asked.After(s.missedAsked) {
+	if s == nil || !ev.Asked.After(s.lastMissed) {
 		return
 	}
-	s.missedAsked = ev.Asked
-	if !s.seen || ev.Asked.After(s.good) {
+	s.lastMissed = ev.Asked
+	if !s.seen || ev.Asked.After(s.lastGood) {
 		s.missed++
 	}
 }
 
-func (m *Machine) noteStatus(s *serverState, st target.Status) {
+func (m *Machine) recordStatus(s *serverState, st target.Status) {
 	if st.Position() != s.status.Position() {
-		s.behind = 0
-		s.cutOff = false
+		s.stalledSince = 0
+		s.followFailed = false
 	}
 	s.status = st
 }
 
-// notePromise remembers the highest promise. One beyond what was known means
-// that another VM is at work, which gives that VM time to finish.
-func (m *Machine) notePromise(st target.Status) {
+// recordPromise records the highest promise. A promise above the highest known one means that
+// another VM is attempting a promotion; resetting agreedAt gives that VM time to finish.
+func (m *Machine) recordPromise(st target.Status) {
 	if st.Promised <= m.promised {
 		return
 	}
 	m.promised = st.Promised
 	if st.Promised > m.group.Term && m.attempt == nil {
-		m.agreed = 0
+		m.agreedAt = 0
 	}
 }
 
@@ -145,77 +145,77 @@
 		return
 	}
 	byVM[ev.VM] = ev
-	m.notePromise(ev.Status)
+	m.recordPromise(ev.Status)
 }
 
-// silent reports whether a server has not answered this VM for too long. An
-// answer that comes after all is as old as its question, so a frozen server
-// that accepts connections, or one that answers late, is silent as well.
-func (m *Machine) silent(s *serverState) bool {
-	if m.now.Sub(s.good) >= m.cfg.SuspectAfter {
+// unresponsive reports whether a server's newest answer is too old or too many of its probes have
+// failed. A late answer is as old as its query, so a frozen server that accepts connections and a
+// server that answers late are unresponsive too.
+func (m *Machine) unresponsive(s *serverState) bool {
+	if m.now.Sub(s.lastGood) >= m.cfg.SuspectAfter {
 		return true
 	}
 	return s.seen && s.missed >= m.cfg.MissedProbes
 }
 
-func (m *Machine) primarySilent() bool {
+func (m *Machine) primaryUnresponsive() bool {
 	s := m.servers[m.group.Primary]
-	return s != nil && m.silent(s)
+	return s != nil && m.unresponsive(s)
 }
 
-// reachesMajority reports whether enough servers answer for a promise of a
-// majority. A VM that is cut off does not even begin.
+// reachesMajority reports whether enough servers answer for a majority to promise a term. A VM that
+// is partitioned from the servers starts no attempt.
 func (m *Machine) reachesMajority() bool {
 	n := 0
 	for _, s := range m.servers {
-		if s.seen && !m.silent(s) {
+		if s.seen && !m.unresponsive(s) {
 			n++
 		}
 	}
 	return n >= m.majority()
 }
 
-// zonesAgree reports whether VMs of two availability zones, or of all zones if
-// the fleet has but one, find the primary silent, and more zones do than do not.
+// zonesAgree reports whether VMs of two availability zones (of one, if the fleet has only one) find
+// the primary unresponsive, and whether more zones find it unresponsive than responsive.
 //
-// The failure: an availability zone is cut off, its VMs cannot reach a healthy
-// primary in another zone and promote a second one. It would show as a gap in
-// service without any server having failed. VMs of one zone share their fate,
-// so one zone's word is never enough.
+// Failure guarded against: an availability zone is partitioned, its VMs cannot reach a healthy
+// primary in another zone, and they promote a second one. Service is interrupted although no server
+// has failed. VMs of one zone fail together, so reports from one zone are never sufficient.
 func (m *Machine) zonesAgree() bool {
 	if m.cfg.Guards.Out(GuardZones) {
 		return true
 	}
-	silent := map[string]bool{m.cfg.Zone: true}
-	good := map[string]bool{}
+	unresponsive := map[string]bool{m.cfg.Zone: true}
+	responsive := map[string]bool{}
 	for _, r := range m.reports[m.group.Primary] {
-		if !m.counts(r) {
+		if !m.reportUsable(r) {
 			continue
 		}
-		if r.LastGood < m.agreeAge() {
-			good[r.Zone] = true
+		if r.LastGood < m.unresponsiveAge() {
+			responsive[r.Zone] = true
 			continue
 		}
-		silent[r.Zone] = true
+		unresponsive[r.Zone] = true
 	}
-	for zone := range good {
-		delete(silent, zone)
+	for zone := range responsive {
+		delete(unresponsive, zone)
 	}
-	return len(silent) >= m.zonesNeeded() && len(silent) > len(good)
+	return len(unresponsive) >= m.zonesNeeded() && len(unresponsive) > len(responsive)
 }
 
-// agreeAge is the age of a peer's newest answer from which on the peer finds a
-// server silent: as many heartbeats as this VM's own probes have to miss.
-func (m *Machine) agreeAge() time.Duration {
+// unresponsiveAge returns the age of a peer's newest answer at which the peer counts as finding a
+// server unresponsive: the MissedProbes heartbeats after which this VM's own probes find it so, but
+// at most SuspectAfter.
+func (m *Machine) unresponsiveAge() time.Duration {
 	return min(m.cfg.SuspectAfter, time.Duration(m.cfg.MissedProbes)*m.cfg.Heartbeat)
 }
 
-// counts reports whether a report is recent and says something.
-func (m *Machine) counts(r PeerReport) bool {
+// reportUsable reports whether a peer's report is recent and contains an observation.
+func (m *Machine) reportUsable(r PeerReport) bool {
 	return r.Seen && m.now.Sub(r.Asked) <= m.cfg.ReportTTL
 }
 
-// zonesNeeded is how many zones must agree.
+// zonesNeeded returns the number of zones that must agree.
 func (m *Machine) zonesNeeded() int {
 	zones := map[string]bool{m.cfg.Zone: true}
 	for _, z := range m.cfg.Zones {
@@ -229,7 +229,7 @@
 	return min(2, len(zones))
 }
 
-// evidence lists what is known, in the order of servers and VMs.
+// evidence lists the known observations, ordered by server and VM.
 func (m *Machine) evidence() []Evidence {
 	var list []Evidence
 	for _, srv := range m.group.Servers {
@@ -238,7 +238,7 @@
 		}
 		reports := m.reports[srv.ID]
 		for _, vm := range slices.Sorted(maps.Keys(reports)) {
-			if r := reports[vm]; m.counts(r) {
+			if r := reports[vm]; m.reportUsable(r) {
 				list = append(list, m.peerEvidence(r))
 			}
 		}
@@ -249,13 +249,13 @@
 func (m *Machine) ownEvidence(id target.ID, s *serverState) Evidence {
 	return Evidence{
 		VM: m.cfg.VM, Zone: m.cfg.Zone, Server: id,
-		Silent: m.silent(s), Age: m.now.Sub(s.good), Status: s.status,
+		Silent: m.unresponsive(s), Age: m.now.Sub(s.lastGood), Status: s.status,
 	}
 }
 
 func (m *Machine) peerEvidence(r PeerReport) Evidence {
 	return Evidence{
 		VM: r.VM, Zone: r.Zone, Server: r.Server,
-		Silent: r.LastGood >= m.agreeAge(), Age: r.LastGood, Status: r.Status,
+		Silent: r.LastGood >= m.unresponsiveAge(), Age: r.LastGood, Status: r.Status,
 	}
 }
--- a/failover/machine.go
+++ b/failover/machine.go
@@ -12,73 +12,73 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// Guards that a test may take out.
+// Guards that a test may disable.
 const (
-	// GuardMajority is the need for a majority's promise before a promotion.
+	// GuardMajority requires the promises of a majority before a promotion.
 	GuardMajority guard.Name = "failover/fence-majority"
-	// GuardHighest is the choice of the fenced server with the longest log.
+	// GuardHighest requires the candidate to be the fenced server with the highest position.
 	GuardHighest guard.Name = "failover/highest-position"
-	// GuardReserve is the conditional update that gives a term to one VM.
+	// GuardReserve is the conditional update that reserves a term for one VM.
 	GuardReserve guard.Name = "failover/term-reservation"
-	// GuardOneCandidate is the use of a term for one candidate only.
+	// GuardOneCandidate allows only one candidate per term.
 	GuardOneCandidate guard.Name = "failover/one-candidate-per-term"
-	// GuardZones is the agreement of two availability zones.
+	// GuardZones requires the agreement of two availability zones.
 	GuardZones guard.Name = "failover/zone-agreement"
-	// GuardPause is the doubt of a Machine's own evidence after a pause.
+	// GuardPause discards the Machine's own evidence after its process was paused.
 	GuardPause guard.Name = "failover/own-pause"
 )
 
-// Phase is what a Machine is doing for its group.
+// Phase is the current activity of a Machine.
 type Phase string
 
 // Phases.
 const (
 	// PhaseLearning: the group is not known yet.
 	PhaseLearning Phase = "learning"
-	// PhaseWatching: the primary answers, or nothing is to be done.
+	// PhaseWatching: the primary answers, or no action is due.
 	PhaseWatching Phase = "watching"
-	// PhaseSuspecting: the primary is silent, and peers are asked.
+	// PhaseSuspecting: the primary is unresponsive, and peers are queried.
 	PhaseSuspecting Phase = "suspecting"
-	// PhaseReserving: a promotion is due and a term is needed first.
+	// PhaseReserving: a promotion is due, but a term must be reserved first.
 	PhaseReserving Phase = "reserving"
-	// PhaseHandover: the primary of a planned change is fenced first.
+	// PhaseHandover: a planned change fences the primary before the replicas.
 	PhaseHandover Phase = "handover"
-	// PhaseFencing: a majority's promise is awaited.
+	// PhaseFencing: the Machine waits for the promises of a majority.
 	PhaseFencing Phase = "fencing"
-	// PhasePromoting: the candidate was told.
+	// PhasePromoting: the candidate was commanded to become the primary.
 	PhasePromoting Phase = "promoting"
 )
 
 // Machine is the state of one group's failover on one VM. It is not safe for
 // concurrent use.
 type Machine struct {
-	cfg Config
-	rng *rand.Rand
-	now clock.Time
-	out []Action
+	cfg     Config
+	rng     *rand.Rand
+	now     clock.Time
+	actions []Action
 
-	group   view.Group
-	phase   Phase
-	ticked  clock.Time
-	servers map[target.ID]*serverState
-	reports map[target.ID]map[string]PeerReport
+	group    view.Group
+	phase    Phase
+	lastTick clock.Time
+	servers  map[target.ID]*serverState
+	reports  map[target.ID]map[string]PeerReport
 
-	suspected clock.Time // when the present suspicion began
-	agreed    clock.Time // when two zones agreed; 0 if they do not
-	askAt     clock.Time
-	promised  timeline.Term // highest promise seen on any server
-	blocked   clock.Time    // since when the live primary is fenced beyond its term; 0 if it is not
-	stranded  clock.Time    // the same of any live server
-	termAt    clock.Time    // when the present term was learned
-	relieve   target.ID     // primary to be relieved; empty if none
+	suspectedAt        clock.Time // when the current suspicion began
+	agreedAt           clock.Time // when two zones agreed that the primary is unresponsive; 0 if they do not
+	peerQueryAt        clock.Time
+	promised           timeline.Term // highest promise seen on any server
+	primaryFencedSince clock.Time    // since when the live primary is fenced above its term; 0 if it is not
+	serverFencedSince  clock.Time    // since when any live server is fenced above the group's term; 0 if none is
+	termLearnedAt      clock.Time    // when the current term was learned
+	handoverFrom       target.ID     // primary to be replaced by a planned change; empty if none
 
-	takeover time.Duration // Config.TakeoverDelay with this Machine's jitter
+	takeoverDelay time.Duration // Config.TakeoverDelay with this Machine's jitter
 
 	lease   leaseState
 	store   storeState
 	terms   termBlock
 	attempt *attempt
-	retryAt clock.Time // no attempt starts before
+	retryAt clock.Time // no attempt starts before this time this time
 	backoff time.Duration
 }
 
@@ -86,36 +86,36 @@
 // randomness; it must not be shared.
 func New(cfg Config, group string, rng *rand.Rand) *Machine {
 	return &Machine{
-		cfg:      cfg,
-		rng:      rng,
-		group:    view.Group{Name: group},
-		phase:    PhaseLearning,
-		servers:  make(map[target.ID]*serverState),
-		reports:  make(map[target.ID]map[string]PeerReport),
-		takeover: cfg.TakeoverDelay + time.Duration(rng.Int64N(int64(cfg.TakeoverDelay/2)+1)),
+		cfg:           cfg,
+		rng:           rng,
+		group:         view.Group{Name: group},
+		phase:         PhaseLearning,
+		servers:       make(map[target.ID]*serverState),
+		reports:       make(map[target.ID]map[string]PeerReport),
+		takeoverDelay: cfg.TakeoverDelay + time.Duration(rng.Int64N(int64(cfg.TakeoverDelay/2)+1)),
 	}
 }
 
-// Phase returns what the Machine is doing.
+// Phase returns the Machine's current phase.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// Group returns the group as the Machine knows it. It must not be changed.
+// Group returns the group as the Machine knows it. The caller must not modify it.
 func (m *Machine) Group() view.Group { return m.group }
 
-// Leads reports whether this VM held the group's lease at the last Step.
+// HoldsLease reports whether this VM held the group's lease at the last Step.
 func (m *Machine) Leads() bool { return m.lease.held(m.now) }
 
-// Step takes one event at the time now and returns what is to be done. Times
-// must be above zero and must not go backwards. The returned slice is the caller's.
+// Step processes one event at the time now and returns the actions to carry out. Times must be
+// above zero and must not go backwards. The caller owns the returned slice.
 func (m *Machine) Step(now clock.Time, ev Event) []Action {
 	m.now = now
-	m.out = nil
-	m.take(ev)
+	m.actions = nil
+	m.handle(ev)
 	m.advance()
-	return m.out
+	return m.actions
 }
 
-func (m *Machine) take(ev Event) {
+func (m *Machine) handle(ev Event) {
 	switch ev := ev.(type) {
 	case Tick:
 		m.onTick()
@@ -144,10 +144,10 @@
 	}
 }
 
-// onTick does what is due by time alone.
+// onTick performs the work that depends on time alone.
 func (m *Machine) onTick() {
-	m.doubtAfterPause()
-	m.ticked = m.now
+	m.resetAfterPause()
+	m.lastTick = m.now
 	m.tickLease()
 	m.tickStore()
 	if m.phase == PhaseLearning {
@@ -158,7 +158,7 @@
 	m.tickRepair()
 }
 
-// advance makes the transitions that the newest evidence allows.
+// advance performs the transitions that the newest evidence allows.
 func (m *Machine) advance() {
 	if m.phase == PhaseLearning {
 		return
@@ -171,7 +171,7 @@
 	m.advanceWatch()
 }
 
-// advanceWatch decides if an attempt is to start.
+// advanceWatch starts a promotion attempt, or reserves a term for it, if one is due.
 func (m *Machine) advanceWatch() {
 	due, reason := m.promotionDue()
 	if !due {
@@ -189,21 +189,21 @@
 	m.startAttempt(term, reason)
 }
 
-// promotionDue says if the group needs a new primary and this VM is to see to
-// it, and why.
+// promotionDue reports whether the group needs a new primary and this VM is to promote it, and
+// returns the reason.
 func (m *Machine) promotionDue() (bool, string) {
-	if m.relieve != "" && m.relieve != m.group.Primary {
-		m.relieve = ""
+	if m.handoverFrom != "" && m.handoverFrom != m.group.Primary {
+		m.handoverFrom = ""
 	}
-	if m.primarySilent() {
+	if m.primaryUnresponsive() {
 		m.suspect()
-		return m.confirmed(), "primary silent"
+		return m.suspicionConfirmed(), "primary silent"
 	}
 	m.clearSuspicion()
-	if m.relieve != "" && m.Leads() {
+	if m.handoverFrom != "" && m.Leads() {
 		return true, "planned change of primary"
 	}
-	if m.isStranded() {
+	if m.fencedWithoutPrimary() {
 		return true, "servers fenced at a term without a primary"
 	}
 	if m.isIsolated() {
@@ -213,44 +213,44 @@
 	return false, ""
 }
 
-// reasonIsolated is why a primary that answers VMs is deposed all the same.
+// reasonIsolated is the reason for replacing a primary although it answers the VMs.
 const reasonIsolated = "primary cut off from its replicas"
 
-// suspect opens a suspicion, and asks peers while it lasts.
+// suspect marks the primary as suspected, and queries peers for as long as it is.
 func (m *Machine) suspect() {
 	if m.phase == PhaseWatching {
 		m.phase = PhaseSuspecting
-		m.suspected = m.now
-		m.agreed = 0
-		m.askAt = m.now
+		m.suspectedAt = m.now
+		m.agreedAt = 0
+		m.peerQueryAt = m.now
 		m.record(Entry{Step: StepSuspected, Term: m.group.Term, Server: m.group.Primary})
 	}
-	if m.now.Before(m.askAt) {
+	if m.now.Before(m.peerQueryAt) {
 		return
 	}
-	m.askAt = m.now.Add(m.cfg.AskEvery)
-	m.do(AskPeers{Server: m.group.Primary, Asked: m.now})
+	m.peerQueryAt = m.now.Add(m.cfg.AskEvery)
+	m.emit(AskPeers{Server: m.group.Primary, Asked: m.now})
 }
 
 func (m *Machine) clearSuspicion() {
 	if m.phase == PhaseSuspecting {
 		m.record(Entry{Step: StepCleared, Term: m.group.Term, Server: m.group.Primary})
 	}
-	m.agreed = 0
+	m.agreedAt = 0
 }
 
-// confirmed reports whether two zones agree that the primary is silent, enough
-// servers answer for a promotion, and it is this VM's turn to act: at once with
-// the lease, later without.
-func (m *Machine) confirmed() bool {
+// suspicionConfirmed reports whether two zones agree that the primary is unresponsive, enough
+// servers answer for a promotion, and this VM may act: immediately if it holds the lease, otherwise
+// after the takeover delay.
+func (m *Machine) suspicionConfirmed() bool {
 	if !m.zonesAgree() || !m.reachesMajority() {
-		m.agreed = 0
+		m.agreedAt = 0
 		return false
 	}
-	if m.agreed == 0 {
-		m.agreed = m.now
+	if m.agreedAt == 0 {
+		m.agreedAt = m.now
 	}
-	return m.Leads() || m.now.Sub(m.agreed) >= m.takeover
+	return m.Leads() || m.now.Sub(m.agreedAt) >= m.takeoverDelay
 }
 
 // addr returns the address of a server of the group.
@@ -261,20 +261,21 @@
 	return ""
 }
 
-// majority is the number of servers that any two of which sets share one.
+// majority returns the smallest number of servers such that any two sets of that size share a
+// server.
 func (m *Machine) majority() int { return len(m.group.Servers)/2 + 1 }
 
-func (m *Machine) do(a Action) { m.out = append(m.out, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// record fills in what every entry carries.
+// record emits an audit entry, with the fields that all entries have in common filled in.
 func (m *Machine) record(e Entry) {
 	e.Group = m.group.Name
 	e.VM = m.cfg.VM
 	e.Evidence = m.evidence()
-	m.do(Record{Entry: e})
+	m.emit(Record{Entry: e})
 }
 
-// copyGroup returns the group with slices of its own.
+// copyGroup returns a copy of the group that shares no slices with it.
 func copyGroup(g view.Group) view.Group {
 	g.History = slices.Clone(g.History)
 	g.Servers = slices.Clone(g.Servers)
--- a/failover/machine_test.go
+++ b/failover/machine_test.go
@@ -44,8 +44,8 @@
 	return none, false
 }
 
-// lead gives the Machine its group, the lease and a block of terms.
-func lead(t rapid.TB, m *Machine) {
+// makeLeaseHolder supplies the Machine with its group, the lease and a block of terms.
+func makeLeaseHolder(t rapid.TB, m *Machine) {
 	t.Helper()
 	m.Step(ms, GroupLearned{Group: testGroup(), Version: 1})
 	m.Step(ms, LeaseResult{Asked: ms})
@@ -59,11 +59,11 @@
 	require.True(t, m.Leads())
 }
 
-// A late copy of an old answer from the store must not give a term that was
-// used already: two candidates would be promoted in it.
+// Failure guarded against: a late duplicate of an earlier answer from the store makes a used term
+// available again, and two candidates are promoted in that term.
 func TestLateReserveAnswerGivesNoUsedTerm(t *testing.T) {
 	m := newMachine()
-	lead(t, m)
+	makeLeaseHolder(t, m)
 	term, ok := m.usableTerm()
 	require.True(t, ok)
 	m.terms.used = m.terms.to
@@ -73,24 +73,23 @@
 	require.Greater(t, term, timeline.Term(1))
 }
 
-// A replica that was told to follow term 2 has not reached the start of that
-// term yet, and the old primary comes back with the longer log of term 1. Some
-// of that log was confirmed. Ranked by the term it follows, the short replica
-// would win, and confirmed writes would be gone.
+// A replica that follows term 2 has not reached the start of that term yet, and the old primary
+// returns with a longer log of term 1, part of which was confirmed. If the replica were ranked by
+// the term that it follows, it would be promoted, and confirmed writes would be lost.
 func TestRankOfFollowerBelowItsTermsStart(t *testing.T) {
 	h := timeline.History{{Term: 1}, {Term: 2, LSN: 100}}
 	behind := target.Status{Term: 2, LSN: 50, Start: 100}
 	old := target.Status{Term: 1, LSN: 120}
 	require.True(t, rank(behind, h).Less(rank(old, h)))
-	require.Equal(t, timeline.LSN(100), startOf(old, 120, h))
+	require.Equal(t, timeline.LSN(100), termStart(old, 120, h))
 }
 
-// A VM promoted in term 3 and died with its announcement. The next promotion
-// finds a log of that term: its start belongs into the history, or a token with
-// a position of term 3 could not be compared.
-func TestPromotionLearnsTheBranchThatNobodyAnnounced(t *testing.T) {
+// A VM promoted a server in term 3 and died before it announced the promotion. The next promotion
+// finds a log of that term. Unless the start of term 3 is added to the history, a token with a
+// position of term 3 cannot be compared.
+func TestPromotionAddsUnannouncedTermToHistory(t *testing.T) {
 	m := newMachine()
-	lead(t, m)
+	makeLeaseHolder(t, m)
 	m.startAttempt(m.terms.to, "test")
 	term := m.attempt.term
 	for _, id := range []target.ID{"s2", "s3"} {
@@ -102,11 +101,11 @@
 	require.Equal(t, timeline.History{{Term: 1}, {Term: 3, LSN: 40}, {Term: term, LSN: 50}}, m.Group().History)
 }
 
-// An answer to the order of an older attempt comes late. It must not count as a
-// promise or a promotion of the present one.
+// A late answer to a command of an earlier attempt must not count as a promise or a promotion of
+// the current one.
 func TestLateAnswersOfAnOlderAttemptAreIgnored(t *testing.T) {
 	m := newMachine()
-	lead(t, m)
+	makeLeaseHolder(t, m)
 	m.startAttempt(m.terms.to, "test")
 	old := m.attempt.term - 1
 	m.Step(3*ms, FenceAnswered{Server: "s2", Term: old})
@@ -115,17 +114,17 @@
 	require.Equal(t, timeline.Term(1), m.Group().Term)
 }
 
-// Whatever answers come, in whatever order and how often, a Machine orders one
-// server at most to be promoted in a term, and only after a majority promised.
-// Half of the Machines hold the lease and terms from the start: the others have
-// to come by them through the events, which few do, and would test little alone.
+// For any answers, in any order and with any duplicates, a Machine commands at most one server to
+// be promoted in a term, and only after a majority has promised the term. Half of the Machines
+// start with the lease and a block of terms. The others must obtain both through drawn events; few
+// do, so alone they would test little.
 func TestOneCandidatePerTerm(t *testing.T) {
 	promotions := 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine()
 		now := 2 * ms
 		if rapid.Bool().Draw(t, "leads") {
-			lead(t, m)
+			makeLeaseHolder(t, m)
 		} else {
 			m.Step(now, GroupLearned{Group: testGroup(), Version: 1})
 		}
@@ -146,11 +145,11 @@
 		}
 		promotions += len(candidates)
 	})
-	require.NotZero(t, promotions, "nothing was tested")
+	require.NotZero(t, promotions, "no run reached a promotion")
 }
 
-// drawEvent draws an event that a driver might pass. The primary mostly fails,
-// so that attempts begin; answers to orders are right, refused, late or lost.
+// drawEvent draws an event that a driver may pass. The primary mostly fails, so that attempts
+// begin; answers to commands are successful, refused, late or lost.
 func drawEvent(t *rapid.T, m *Machine, now clock.Time) Event {
 	id := rapid.SampledFrom([]target.ID{"s1", "s2", "s3"}).Draw(t, "server")
 	used := m.terms.used
--- a/failover/repair.go
+++ b/failover/repair.go
@@ -5,27 +5,27 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// tickRepair tells servers that do not follow the primary to do so.
+// tickRepair commands servers that do not follow the primary to do so.
 func (m *Machine) tickRepair() {
 	if m.attempt != nil {
 		return
 	}
-	m.watchStranded()
+	m.trackFencedServers()
 	m.followAll()
 }
 
-// mine reports whether repairs are this VM's business at once: it holds the
-// lease, or made the promotion. Others step in Config.TakeoverDelay later, which
-// covers a promoter that died half way. An order that two VMs give is harmless:
-// it carries the term, and is refused when that is old.
-func (m *Machine) mine() bool { return m.Leads() || m.group.Term == m.terms.used }
+// actsImmediately reports whether this VM may make repairs without delay, because it holds the
+// lease or made the promotion. Other VMs act Config.TakeoverDelay later, which covers a promoter
+// that died before it finished. Two VMs may send the same command without harm: the command carries
+// the term, and a server refuses an outdated one.
+func (m *Machine) actsImmediately() bool { return m.Leads() || m.group.Term == m.terms.used }
 
-// myTurn reports whether this VM may act on what has been so since then.
-func (m *Machine) myTurn(since clock.Time) bool {
-	return m.mine() || m.now.Sub(since) >= m.takeover
+// mayAct reports whether this VM may act now on a condition that has held since the given time.
+func (m *Machine) mayAct(since clock.Time) bool {
+	return m.actsImmediately() || m.now.Sub(since) >= m.takeoverDelay
 }
 
-// followAll orders every other server that needs it to follow the primary.
+// followAll sends Follow to every other server that needs it.
 func (m *Machine) followAll() {
 	addr := m.addr(m.group.Primary)
 	if addr == "" {
@@ -37,39 +37,38 @@
 			continue
 		}
 		s.followAt = m.now.Add(m.cfg.OrderRetry)
-		m.do(Follow{Server: srv.ID, Primary: m.group.Primary, Addr: addr, Term: m.group.Term})
+		m.emit(Follow{Server: srv.ID, Primary: m.group.Primary, Addr: addr, Term: m.group.Term})
 	}
 }
 
-// needsFollow reports whether a server that answers is not a replica of the
-// present term, or has long stood still behind its primary, and it is this VM's
-// turn to order it.
+// needsFollow reports whether a server that answers is not a replica of the current term, or has
+// made no progress behind its primary for RepairAfter, and this VM may send it a Follow.
 func (m *Machine) needsFollow(s *serverState) bool {
-	if !s.seen || m.silent(s) || s.status.Promised > m.group.Term {
+	if !s.seen || m.unresponsive(s) || s.status.Promised > m.group.Term {
 		return false
 	}
 	if s.status.Term >= m.group.Term && s.status.Role == target.RoleReplica {
-		s.astray = 0
+		s.notFollowingSince = 0
 		return m.stalled(s)
 	}
-	if s.astray == 0 {
-		s.astray = m.now
+	if s.notFollowingSince == 0 {
+		s.notFollowingSince = m.now
 	}
-	return m.myTurn(s.astray)
+	return m.mayAct(s.notFollowingSince)
 }
 
-// stalled reports whether a replica has not moved for long although its primary
-// is ahead: it may follow nobody since a restart.
+// stalled reports whether a replica has made no progress for RepairAfter although its primary is
+// ahead, for example because it has not followed any server since a restart.
 func (m *Machine) stalled(s *serverState) bool {
 	p := m.servers[m.group.Primary]
 	if p == nil || !p.seen || p.status.Term != m.group.Term || s.status.LSN >= p.status.LSN {
-		s.behind = 0
+		s.stalledSince = 0
 		return false
 	}
-	if s.behind == 0 {
-		s.behind = m.now
+	if s.stalledSince == 0 {
+		s.stalledSince = m.now
 	}
-	return m.now.Sub(s.behind) >= m.cfg.RepairAfter && m.myTurn(s.behind.Add(m.cfg.RepairAfter))
+	return m.now.Sub(s.stalledSince) >= m.cfg.RepairAfter && m.mayAct(s.stalledSince.Add(m.cfg.RepairAfter))
 }
 
 func (m *Machine) onFollowAnswered(ev FollowAnswered) {
@@ -79,55 +78,57 @@
 		return
 	}
 	if ev.Err != nil {
-		s.cutOff = s.apart() != 0
+		s.followFailed = s.notReplicatingSince() != 0
 		return
 	}
-	s.cutOff = false
+	s.followFailed = false
 	s.followAt = m.now.Add(m.cfg.RepairAfter)
 	step := StepFollowing
-	if s.behind != 0 {
+	if s.stalledSince != 0 {
 		step = StepRepaired
-		s.followAt = m.now.Add(repairPause * m.cfg.RepairAfter)
+		s.followAt = m.now.Add(repairBackoffFactor * m.cfg.RepairAfter)
 	}
-	// A replica that is far behind is told again and again; the trail says so once.
-	if again := s.followed == ev.Term; again && step == StepFollowing && len(ev.Discarded) == 0 {
+	// A replica that is far behind is commanded repeatedly; the audit trail records it once.
+	if repeated := s.followed == ev.Term; repeated && step == StepFollowing && len(ev.Discarded) == 0 {
 		return
 	}
 	s.followed = ev.Term
 	m.record(Entry{Step: step, Term: ev.Term, Server: ev.Server, Discarded: ev.Discarded})
 }
 
-// apart is since when a server does not move on with its primary: it stands
-// still behind it, or is not yet of its term. It is 0 if it does.
-func (s *serverState) apart() clock.Time { return max(s.behind, s.astray) }
+// notReplicatingSince returns since when a server has not replicated from its primary, because it
+// makes no progress behind the primary or is not yet in the primary's term. It returns 0 if it
+// replicates.
+func (s *serverState) notReplicatingSince() clock.Time {
+	return max(s.stalledSince, s.notFollowingSince)
+}
 
-// isIsolated reports whether a majority of the servers, all of them replicas,
-// stand still behind the primary and say that they cannot reach it.
+// isIsolated reports whether replicas that form a majority of the servers make no progress behind
+// the primary and report that they cannot reach it.
 //
-// The failure: the primary is cut off from its peers but not from the VMs. Its
-// heartbeats are well, and yet no write can be confirmed any more, for as long
-// as the cut lasts. A replica that is only slow follows when it is told to, and
-// does not count. What the primary committed alone is discarded and listed; it
-// was never confirmed.
+// Failure guarded against: the primary is partitioned from its replicas but not from the VMs. It
+// answers probes, yet no write can be confirmed while the partition lasts. A replica that is merely
+// slow succeeds with Follow and does not count. Writes that only the primary committed are
+// discarded and listed; they were never confirmed.
 func (m *Machine) isIsolated() bool {
 	n := 0
 	var began clock.Time
 	for id, s := range m.servers {
-		if id == m.group.Primary || !s.seen || m.silent(s) || s.apart() == 0 || !s.cutOff {
+		if id == m.group.Primary || !s.seen || m.unresponsive(s) || s.notReplicatingSince() == 0 || !s.followFailed {
 			continue
 		}
 		n++
-		began = max(began, s.apart())
+		began = max(began, s.notReplicatingSince())
 	}
 	due := began.Add(m.cfg.RepairAfter)
-	return n >= m.majority() && !m.now.Before(due) && m.myTurn(due)
+	return n >= m.majority() && !m.now.Before(due) && m.mayAct(due)
 }
 
-// repairPause is how many times RepairAfter a replica that was told to follow
-// again is left alone: it may just be slow.
-const repairPause = 10
+// repairBackoffFactor is the number of RepairAfter periods for which a replica that was commanded
+// to follow again is in backoff, because it may just be slow.
+const repairBackoffFactor = 10
 
-// recordDiscarded keeps what a late answer says for the auditor.
+// recordDiscarded records, for the auditor, the discarded entries that a late answer lists.
 func (m *Machine) recordDiscarded(ev FollowAnswered) {
 	if len(ev.Discarded) == 0 {
 		return
@@ -135,23 +136,23 @@
 	m.record(Entry{Step: StepFollowing, Term: ev.Term, Server: ev.Server, Discarded: ev.Discarded})
 }
 
-// watchStranded notes since when live servers of the group have promised a term
-// that has no primary, because its promoter died or lost a duel. Such a primary
-// commits nothing, and such a replica replicates nothing.
-func (m *Machine) watchStranded() {
-	blocked, stranded := false, false
+// trackFencedServers records since when live servers of the group have promised a term that has no
+// primary, because its promoter died or was superseded by a concurrent promotion attempt. A primary
+// in this state commits nothing, and a replica replicates nothing.
+func (m *Machine) trackFencedServers() {
+	primaryFenced, serverFenced := false, false
 	for id, s := range m.servers {
-		if s.seen && !m.silent(s) && s.status.Promised > m.group.Term {
-			stranded = true
-			blocked = blocked || id == m.group.Primary
+		if s.seen && !m.unresponsive(s) && s.status.Promised > m.group.Term {
+			serverFenced = true
+			primaryFenced = primaryFenced || id == m.group.Primary
 		}
 	}
-	m.blocked = since(m.blocked, m.now, blocked)
-	m.stranded = since(m.stranded, m.now, stranded)
+	m.primaryFencedSince = holdsSince(m.primaryFencedSince, m.now, primaryFenced)
+	m.serverFencedSince = holdsSince(m.serverFencedSince, m.now, serverFenced)
 }
 
-// since returns when a condition began to hold, or 0 if it does not hold.
-func since(began, now clock.Time, holds bool) clock.Time {
+// holdsSince returns when a condition began to hold, or 0 if it does not hold.
+func holdsSince(began, now clock.Time, holds bool) clock.Time {
 	switch {
 	case !holds:
 		return 0
@@ -162,18 +163,18 @@
 	}
 }
 
-// isStranded reports whether it is time for this VM to end such a state by a
-// promotion at a later term.
-func (m *Machine) isStranded() bool {
-	if m.blocked != 0 && m.now.Sub(m.blocked) >= m.cfg.BlockedAfter {
-		return m.myTurn(m.blocked.Add(m.cfg.BlockedAfter))
+// fencedWithoutPrimary reports whether servers have been fenced at a term without a primary for so
+// long that this VM is to promote a server at a later term.
+func (m *Machine) fencedWithoutPrimary() bool {
+	if m.primaryFencedSince != 0 && m.now.Sub(m.primaryFencedSince) >= m.cfg.BlockedAfter {
+		return m.mayAct(m.primaryFencedSince.Add(m.cfg.BlockedAfter))
 	}
-	return m.Leads() && m.stranded != 0 && m.now.Sub(m.stranded) >= m.cfg.RepairAfter
+	return m.Leads() && m.serverFencedSince != 0 && m.now.Sub(m.serverFencedSince) >= m.cfg.RepairAfter
 }
 
-// adoptUnannounced takes over a promotion whose promoter died before it could
-// tell anybody. A primary's own word for a later term is proof: it was ordered
-// by the one VM that owns the term, after a majority's promise.
+// adoptUnannounced adopts a promotion whose promoter died before it announced it. A server that
+// reports itself as the primary of a later term is sufficient proof: the one VM that owns the term
+// commanded it to be promoted after a majority had promised the term.
 func (m *Machine) adoptUnannounced() {
 	for _, srv := range m.group.Servers {
 		s := m.servers[srv.ID]
@@ -191,6 +192,6 @@
 	m.setPrimary(id, st.Term, st.Start)
 	m.record(Entry{Step: StepAdopted, Term: st.Term, Server: id})
 	m.onNewTerm()
-	m.do(Announce{Group: copyGroup(m.group)})
+	m.emit(Announce{Group: copyGroup(m.group)})
 	m.publish()
 }
--- a/failover/reserve.go
+++ b/failover/reserve.go
@@ -9,17 +9,17 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// storeState is what is known of the group's object in the store. At most one
-// write of it is under way.
+// storeState is the last known state of the group's object in the store. At most one write of the
+// object is pending.
 type storeState struct {
 	group   view.Group    // the object's value at version
 	version store.Version // 0: not read yet
 	down    bool          // the newest call was not answered
 	pending pendingWrite
 	readAt  clock.Time // when ReadGroup is due; 0 if it is not
-	retryAt clock.Time // no write starts before
+	retryAt clock.Time // no write starts before this time this time
 
-	announceAt clock.Time // when what is not published is announced again
+	announceAt clock.Time // when an unpublished promotion is announced again
 }
 
 // pendingWrite is an unanswered Reserve or Publish.
@@ -37,16 +37,16 @@
 	writePublish
 )
 
-// termBlock is the newest block of terms reserved by this VM, and the highest
-// term that it used. A term is never used again, whatever answers come late.
+// termBlock is the newest block of terms reserved by this VM, and the highest term that it used. A
+// late answer never makes a used term available again.
 type termBlock struct {
 	from, to timeline.Term
 	used     timeline.Term
 }
 
-func (s *storeState) noteAnswer() { s.down = false }
+func (s *storeState) recordAnswer() { s.down = false }
 
-func (s *storeState) noteError(err error) {
+func (s *storeState) recordError(err error) {
 	s.down = !isConflict(err) && !errors.Is(err, store.ErrNotFound)
 }
 
@@ -55,12 +55,12 @@
 	return errors.As(err, &conflict)
 }
 
-// usableTerm returns the lowest own term above every term that is known.
+// usableTerm returns the lowest term reserved by this VM that is above every known term.
 //
-// The failure: two VMs count up to the same term by themselves, each with a
-// majority that the other did not see, and promote two servers in it. The two
-// logs would confirm each other's writes. The conditional update of the group's
-// object gives a term to one VM only.
+// Failure guarded against: two VMs each increment the term to the same value, each fences a
+// majority that the other VM does not observe, and they promote two servers in one term. Each
+// server's log would then confirm the other's writes. The conditional update of the group's object
+// reserves a term for one VM only.
 func (m *Machine) usableTerm() (timeline.Term, bool) {
 	if m.cfg.Guards.Out(GuardReserve) {
 		return m.group.Term + 1, true
@@ -69,8 +69,8 @@
 	return t, m.terms.to > 0 && t <= m.terms.to
 }
 
-// tickStore reads the object when a write's outcome is in doubt, publishes what
-// the store lacks, and reserves terms ahead of need.
+// tickStore reads the object when the outcome of a write is in doubt, publishes a promotion that
+// the store lacks, and reserves terms in advance.
 func (m *Machine) tickStore() {
 	s := &m.store
 	if s.pending.kind != writeNone && m.now.Sub(s.pending.asked) >= m.cfg.StoreTimeout {
@@ -82,17 +82,17 @@
 	}
 	if s.readAt != 0 && !m.now.Before(s.readAt) {
 		s.readAt = m.now.Add(m.jitter(m.cfg.StoreRetry))
-		m.do(ReadGroup{})
+		m.emit(ReadGroup{})
 	}
 	m.publish()
 	m.reserveAhead()
 }
 
-// readBack resolves the outcome of the pending write by reading.
+// readBack resolves the outcome of the pending write by reading the object.
 //
-// The failure: the store applied a write and its answer was lost. Taking it for
-// failed would use up a term or publish twice; taking it for done could use a
-// term that another VM owns. Only the object itself tells.
+// Failure guarded against: the store applied a write and its answer was lost. Assuming that the
+// write failed would waste a term or publish twice; assuming that it succeeded could use a term
+// that another VM owns. Only the object itself shows the outcome.
 func (m *Machine) readBack() {
 	m.store.pending.kind = writeNone
 	m.store.readAt = m.now
@@ -113,7 +113,7 @@
 	}
 }
 
-// reserveTerms asks the store for a block of terms above all that are known.
+// reserveTerms reserves a block of terms above all known terms in the store.
 func (m *Machine) reserveTerms() {
 	if !m.canWrite() {
 		return
@@ -123,7 +123,7 @@
 	g.Reserved = base + timeline.Term(m.cfg.ReserveBlock)
 	g.ReservedBy = m.cfg.Incarnation
 	m.write(writeReserve, g)
-	m.do(Reserve{Group: g, ExpectVersion: m.store.version})
+	m.emit(Reserve{Group: g, ExpectVersion: m.store.version})
 }
 
 func (m *Machine) write(kind writeKind, g view.Group) {
@@ -131,13 +131,13 @@
 	m.store.retryAt = m.now.Add(m.jitter(m.cfg.StoreRetry))
 }
 
-// publish writes a promotion that the store does not have yet. VMs other than
-// the promoter and the lease holder do so when it was not published for a while.
+// publish writes a promotion that the store does not have yet. VMs other than the promoter and the
+// lease holder do so if the promotion is still unpublished after their takeover delay.
 func (m *Machine) publish() {
 	if m.phase == PhaseLearning || m.group.Term <= m.store.group.Term {
 		return
 	}
-	if !m.myTurn(m.termAt) {
+	if !m.mayAct(m.termLearnedAt) {
 		return
 	}
 	m.announce()
@@ -149,22 +149,22 @@
 	g.Reserved = m.store.group.Reserved
 	g.ReservedBy = m.store.group.ReservedBy
 	if g.Reserved < g.Term {
-		// The object was restored from an older copy. Whoever it names has not
-		// reserved the terms in between.
+		// The object was restored from an older copy. The VM that it names has not reserved the
+		// terms in between.
 		g.Reserved = g.Term
 		g.ReservedBy = ""
 	}
 	m.write(writePublish, g)
-	m.do(Publish{Group: g, ExpectVersion: m.store.version})
+	m.emit(Publish{Group: g, ExpectVersion: m.store.version})
 }
 
-// announce tells peers of a promotion until the store has it.
+// announce sends a promotion to peers, and repeats it until the store has the promotion.
 func (m *Machine) announce() {
 	if m.now.Before(m.store.announceAt) {
 		return
 	}
 	m.store.announceAt = m.now.Add(m.cfg.StoreRetry)
-	m.do(Announce{Group: copyGroup(m.group)})
+	m.emit(Announce{Group: copyGroup(m.group)})
 }
 
 func (m *Machine) onReserveResult(ev ReserveResult) {
@@ -175,19 +175,19 @@
 	m.onWriteResult(writePublish, ev.Term, ev.Version, ev.Err)
 }
 
-// onWriteResult takes the answer to the pending write; an answer to an older
-// one is ignored, because its outcome was read back.
+// onWriteResult processes the answer to the pending write. An answer to an older write is ignored,
+// because that outcome was read back.
 func (m *Machine) onWriteResult(kind writeKind, term timeline.Term, version store.Version, err error) {
 	p := m.store.pending
 	if p.kind != kind || pendingTerm(p) != term {
 		return
 	}
 	if err != nil {
-		m.store.noteError(err)
+		m.store.recordError(err)
 		m.onWriteError(err)
 		return
 	}
-	m.store.noteAnswer()
+	m.store.recordAnswer()
 	m.store.pending.kind = writeNone
 	m.learnStore(p.value, version)
 }
@@ -205,7 +205,7 @@
 		return
 	}
 	if isConflict(err) {
-		// The store is well and somebody else wrote: try again once it is read.
+		// The store is available and another VM wrote the object: retry after reading it.
 		m.store.retryAt = m.now
 	}
 	m.readBack()
@@ -213,7 +213,7 @@
 
 func (m *Machine) onGroupLearned(ev GroupLearned) {
 	if ev.Err != nil {
-		m.store.noteError(ev.Err)
+		m.store.recordError(ev.Err)
 		return
 	}
 	if ev.Group.Name != m.group.Name {
@@ -223,11 +223,11 @@
 		m.learnFromPeer(ev.Group)
 		return
 	}
-	m.store.noteAnswer()
+	m.store.recordAnswer()
 	m.learnStore(ev.Group, ev.Version)
 }
 
-// learnStore takes the object's value at a version.
+// learnStore records the object's value at a version.
 func (m *Machine) learnStore(g view.Group, version store.Version) {
 	s := &m.store
 	if version < s.version {
@@ -248,8 +248,8 @@
 	}
 }
 
-// learnTerms finds out whether this VM owns the newest block of terms. Each
-// block that it reserved has Config.ReserveBlock terms and ends at Reserved.
+// learnTerms records the newest block of terms if this VM reserved it. Each block that it reserved
+// has Config.ReserveBlock terms and ends at Reserved.
 func (m *Machine) learnTerms(g view.Group) {
 	if g.ReservedBy != m.cfg.Incarnation || g.Reserved <= m.terms.to {
 		return
@@ -260,15 +260,16 @@
 	m.record(Entry{Step: StepReserved, Term: g.Reserved})
 }
 
-// learnFromPeer takes a peer's word for a promotion that the store may not have
-// yet. Its list of servers is no news.
+// learnFromPeer accepts a promotion that a peer announced and that the store may not have yet. An
+// announcement of a term that is not newer is ignored, including its list of servers.
 func (m *Machine) learnFromPeer(g view.Group) {
 	if m.phase == PhaseLearning || g.Term > m.group.Term {
 		m.learnGroup(g)
 	}
 }
 
-// learnGroup takes a group of a term that is not older than the known one.
+// learnGroup replaces the group unless g has an older term; in that case only the servers are
+// replaced.
 func (m *Machine) learnGroup(g view.Group) {
 	if m.phase == PhaseLearning {
 		m.phase = PhaseWatching
