--- a/ack/gate.go
+++ b/ack/gate.go
@@ -11,45 +11,45 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// Guards that a test may take out.
+// Guards that a test may disable.
 const (
-	// GuardAskedAfter is the demand for evidence from after the commit.
+	// GuardAskedAfter requires evidence whose query was sent after the commit.
 	GuardAskedAfter guard.Name = "ack/asked-after-commit"
-	// GuardPromised is the demand for a replica that promised no later term.
+	// GuardPromised requires a replica that has promised no later term.
 	GuardPromised guard.Name = "ack/promised"
-	// GuardReached is the demand for a replica that holds the write.
+	// GuardReached requires a replica that has the write.
 	GuardReached guard.Name = "ack/replica-reached"
-	// GuardTimeline is the check of the write against the starts of later terms.
+	// GuardTimeline checks the write against the starts of later terms.
 	GuardTimeline guard.Name = "ack/timeline"
 )
 
 // Write is a committed write that waits for its acknowledgement.
 type Write struct {
-	// Primary committed it, at Position.
+	// Primary is the server that committed the write, at Position.
 	Primary  target.ID
 	Position timeline.Position
-	// Committed is when the primary's answer came.
+	// Committed is when the primary's answer arrived.
 	Committed clock.Time
-	// Deadline is when the caller has to be answered.
+	// Deadline is when the caller must be answered.
 	Deadline   clock.Time
 	Durability profile.Durability
 }
 
-// Verdict says how to go on with a write.
+// Result is the action to take for a write.
 type Verdict uint8
 
 const (
-	// Wait: ask the replicas again.
+	// Wait means that the replicas are to be queried again.
 	Wait Verdict = iota
-	// Ack: answer the caller that it is done.
+	// Ack means that the write is to be acknowledged to the caller.
 	Ack
-	// Unknown: answer the caller that the outcome is unknown.
+	// Unknown means that the caller is to be answered that the outcome is unknown.
 	Unknown
 )
 
-// String returns the verdict's name in logs.
-func (v Verdict) String() string {
-	switch v {
+// String returns the result's name in logs.
+func (r Verdict) String() string {
+	switch r {
 	case Ack:
 		return "ack"
 	case Unknown:
@@ -59,7 +59,7 @@
 	}
 }
 
-// Reason says why.
+// Reason explains a Decision.
 type Reason string
 
 // Reasons of a Decision.
@@ -73,45 +73,45 @@
 	ReasonOtherTerm Reason = "the write's term is not in the group's history"
 )
 
-// Decision is a gate's answer.
+// Decision is a gate's result for a write, with its reason.
 type Decision struct {
 	Verdict Verdict
 	Reason  Reason
 }
 
-// Gate decides on a write by the evidence at hand. Its implementations are
-// Confirm, Witness, Lease and Mix.
+// Gate decides whether a write may be acknowledged, given the current evidence. Its implementations
+// are Confirm, Witness, Lease and Mix.
 type Gate interface {
 	Decide(w Write, e *Evidence, now clock.Time) Decision
 }
 
-// Confirm waits for a replica that holds the write.
+// Confirm waits for a replica that has the write.
 type Confirm struct {
-	// Guards is for tests of this module only.
+	// Guards disables guards, in tests of this module only.
 	Guards guard.Set
 }
 
 // Witness waits for a replica that has promised no later term.
 type Witness struct {
-	// Guards is for tests of this module only.
+	// Guards disables guards, in tests of this module only.
 	Guards guard.Set
 }
 
-// Lease acknowledges while the group's permission lasts.
+// Lease acknowledges writes while the group's permission is valid.
 type Lease struct {
-	// MaxDrift bounds the difference in rate between the clocks of a proxy and
-	// of the promoter, as a fraction.
+	// MaxDrift bounds the difference in rate between the clocks of a proxy and of the promoter, as
+	// a fraction.
 	MaxDrift float64
-	// Margin is what the answer's way to the caller may take.
+	// Margin is the time allowed for the answer to reach the caller.
 	Margin time.Duration
 }
 
-// Mix uses one gate for writes of Confirmed durability and another for the rest.
+// Mix uses the gate Confirmed for writes of Confirmed durability and the gate Other for all others.
 type Mix struct {
 	Confirmed, Rest Gate
 }
 
-// Standard is the gate that profiles are written for.
+// Standard returns the gate that profiles assume.
 func Standard() Gate { return Mix{Confirmed: Confirm{}, Rest: Witness{}} }
 
 // Decide implements Gate.
@@ -124,7 +124,7 @@
 
 // Decide implements Gate.
 func (g Confirm) Decide(w Write, e *Evidence, now clock.Time) Decision {
-	w, refused := lift(w, e, g.Guards)
+	w, refused := rebase(w, e, g.Guards)
 	if refused != "" {
 		return Decision{Unknown, refused}
 	}
@@ -133,14 +133,14 @@
 			return Decision{Ack, ReasonConfirmed}
 		}
 	}
-	return wait(w, now)
+	return waitUntilDeadline(w, now)
 }
 
-// confirms reports whether a replica's report proves that the write is kept.
-// The term must be the write's own: a replica of another branch may have as
-// long a log with other entries in it.
+// confirms reports whether a replica's report proves that the write survives a crash of the
+// primary. The replica's term must be the write's own, because a replica on another branch may have
+// a log of the same length with other entries.
 func (g Confirm) confirms(w Write, r Report) bool {
-	if !askedAfter(w, r, g.Guards) || !unpromised(w, r, g.Guards) {
+	if !askedAfter(w, r, g.Guards) || !promisedNoLaterTerm(w, r, g.Guards) {
 		return false
 	}
 	if g.Guards.Out(GuardReached) {
@@ -151,21 +151,21 @@
 
 // Decide implements Gate.
 func (g Witness) Decide(w Write, e *Evidence, now clock.Time) Decision {
-	w, refused := lift(w, e, g.Guards)
+	w, refused := rebase(w, e, g.Guards)
 	if refused != "" {
 		return Decision{Unknown, refused}
 	}
 	for id, r := range e.reports {
-		if id != w.Primary && askedAfter(w, r, g.Guards) && unpromised(w, r, g.Guards) {
+		if id != w.Primary && askedAfter(w, r, g.Guards) && promisedNoLaterTerm(w, r, g.Guards) {
 			return Decision{Ack, ReasonWitnessed}
 		}
 	}
-	return wait(w, now)
+	return waitUntilDeadline(w, now)
 }
 
 // Decide implements Gate.
 func (g Lease) Decide(w Write, e *Evidence, now clock.Time) Decision {
-	w, refused := lift(w, e, nil)
+	w, refused := rebase(w, e, nil)
 	if refused != "" {
 		return Decision{Unknown, refused}
 	}
@@ -174,42 +174,43 @@
 	if p.Term == w.Position.Term && now.Before(p.Asked.Add(usable)) {
 		return Decision{Ack, ReasonPermitted}
 	}
-	return wait(w, now)
+	return waitUntilDeadline(w, now)
 }
 
-// askedAfter reports whether the evidence is from after the commit.
+// askedAfter reports whether the query for the evidence was sent after the commit.
 //
-// The failure: a replica's older answer, or one that came late, says that it
-// had promised nothing, and since then it was fenced and another server
-// promoted. The write would be acknowledged by a superseded primary.
+// Failure guarded against: an old or late answer of a replica shows no later promise, but since
+// then the replica was fenced and another server was promoted. A superseded primary's write would
+// be acknowledged.
 func askedAfter(w Write, r Report, g guard.Set) bool {
 	return g.Out(GuardAskedAfter) || !r.Asked.Before(w.Committed)
 }
 
-// unpromised reports whether the replica has promised no later term.
+// promisedNoLaterTerm reports whether the replica has promised no term later than the write's.
 //
-// The failure: the primary was superseded while its answer was on the way. A
-// replica that has promised a later term may be one of the majority that the
-// promoter relied on, so its word no longer shows that the primary led when it
-// committed. Confirm would still lose nothing, since a fenced log only counts
-// with what it held before; Witness rests on this check alone.
-func unpromised(w Write, r Report, g guard.Set) bool {
+// Failure guarded against: the primary was superseded while its answer was in transit. A replica
+// that has promised a later term may belong to the majority that the promoter fenced, so its report
+// no longer proves that the primary was current when it committed. Confirm would still lose
+// nothing, because only the entries that a log had before it was fenced count; Witness depends on
+// this check alone.
+func promisedNoLaterTerm(w Write, r Report, g guard.Set) bool {
 	return g.Out(GuardPromised) || r.Status.Promised <= w.Position.Term
 }
 
-// lift checks the write against the group's history. A write that every later
-// term kept is part of the newest term's log, and is to be confirmed there.
+// rebase checks the write against the group's history. A write that every later term retained is
+// part of the newest term's log and must be confirmed there, so its term and primary are replaced
+// by the group's.
 //
-// The failure: the primary was cut off and superseded, and the caller is told
-// "done" for a write that the new primary's log does not have. The starts of
-// the later terms show it. A history that has later terms but not the write's
-// own says nothing about it.
-func lift(w Write, e *Evidence, g guard.Set) (Write, Reason) {
+// Failure guarded against: the primary was partitioned and superseded, and the caller receives an
+// acknowledgement for a write that is missing from the new primary's log. The starts of the later
+// terms reveal this. A history that contains later terms but not the write's own proves nothing
+// about the write.
+func rebase(w Write, e *Evidence, g guard.Set) (Write, Reason) {
 	group := e.group
 	if group == nil || group.Term <= w.Position.Term {
 		return w, ""
 	}
-	if !knows(group.History, w.Position.Term) {
+	if !containsTerm(group.History, w.Position.Term) {
 		return w, ReasonOtherTerm
 	}
 	if group.History.WasDiscarded(w.Position) && !g.Out(GuardTimeline) {
@@ -220,12 +221,12 @@
 	return w, ""
 }
 
-func knows(h timeline.History, term timeline.Term) bool {
+func containsTerm(h timeline.History, term timeline.Term) bool {
 	return slices.ContainsFunc(h, func(s timeline.Start) bool { return s.Term == term })
 }
 
-// wait gives up at the deadline.
-func wait(w Write, now clock.Time) Decision {
+// waitUntilDeadline returns Wait before the write's deadline and Unknown from then on.
+func waitUntilDeadline(w Write, now clock.Time) Decision {
 	if !now.Before(w.Deadline) {
 		return Decision{Unknown, ReasonDeadline}
 	}
--- a/ack/gate_test.go
+++ b/ack/gate_test.go
@@ -39,17 +39,17 @@
 		now     clock.Time
 		want    Decision
 	}{
-		{"replica holds it", first, []Report{report(101, "s2", 1, 1, 10)}, write(1, 10, profile.Confirmed), 110, Decision{Ack, ReasonConfirmed}},
-		{"replica is short", first, []Report{report(101, "s2", 1, 1, 9)}, write(1, 10, profile.Confirmed), 110, Decision{Wait, ReasonWaiting}},
+		{"replica has the write", first, []Report{report(101, "s2", 1, 1, 10)}, write(1, 10, profile.Confirmed), 110, Decision{Ack, ReasonConfirmed}},
+		{"replica log is too short", first, []Report{report(101, "s2", 1, 1, 9)}, write(1, 10, profile.Confirmed), 110, Decision{Wait, ReasonWaiting}},
 		{"longer log of another branch", first, []Report{report(101, "s2", 0, 1, 50)}, write(1, 10, profile.Confirmed), 110, Decision{Wait, ReasonWaiting}},
-		{"own word is no evidence", first, []Report{report(101, "s1", 1, 1, 50)}, write(1, 10, profile.Confirmed), 110, Decision{Wait, ReasonWaiting}},
-		{"asked before the commit", first, []Report{report(99, "s2", 1, 1, 9)}, write(1, 10, profile.Witnessed), 110, Decision{Wait, ReasonWaiting}},
+		{"report of the primary itself is no evidence", first, []Report{report(101, "s1", 1, 1, 50)}, write(1, 10, profile.Confirmed), 110, Decision{Wait, ReasonWaiting}},
+		{"queried before the commit", first, []Report{report(99, "s2", 1, 1, 9)}, write(1, 10, profile.Witnessed), 110, Decision{Wait, ReasonWaiting}},
 		{"promised a later term", first, []Report{report(101, "s2", 1, 2, 9)}, write(1, 10, profile.Witnessed), 110, Decision{Wait, ReasonWaiting}},
 		{"witnessed", first, []Report{report(101, "s2", 1, 1, 3)}, write(1, 10, profile.Witnessed), 110, Decision{Ack, ReasonWitnessed}},
 		{"deadline", first, nil, write(1, 10, profile.Confirmed), 1000, Decision{Unknown, ReasonDeadline}},
 		{"discarded", second, nil, write(1, 11, profile.Confirmed), 110, Decision{Unknown, ReasonDiscarded}},
-		{"kept, not yet confirmed", second, []Report{report(101, "s2", 2, 2, 10)}, write(1, 10, profile.Confirmed), 110, Decision{Wait, ReasonWaiting}},
-		{"kept and confirmed in the new term", second, []Report{report(101, "s3", 2, 2, 10)}, write(1, 10, profile.Confirmed), 110, Decision{Ack, ReasonConfirmed}},
+		{"retained, not yet confirmed", second, []Report{report(101, "s2", 2, 2, 10)}, write(1, 10, profile.Confirmed), 110, Decision{Wait, ReasonWaiting}},
+		{"retained and confirmed in the new term", second, []Report{report(101, "s3", 2, 2, 10)}, write(1, 10, profile.Confirmed), 110, Decision{Ack, ReasonConfirmed}},
 		{"history without the write's term", second, []Report{report(101, "s3", 2, 2, 99)}, write(0, 10, profile.Confirmed), 110, Decision{Unknown, ReasonOtherTerm}},
 	}
 	for _, tt := range tests {
@@ -72,9 +72,9 @@
 	require.Equal(t, Wait, gate.Decide(write(2, 10, profile.Witnessed), e, 110).Verdict)
 }
 
-// A witness's answer from before the commit, kept or late, would let a
-// superseded primary's write pass; so would one of a fenced replica.
-func TestGuardsDecideTheVerdict(t *testing.T) {
+// Failure guarded against: a witness's answer from before the commit, either cached or late, or an
+// answer of a fenced replica lets a superseded primary's write be acknowledged.
+func TestGuardsDecideTheResult(t *testing.T) {
 	tests := []struct {
 		guard  guard.Name
 		report Report
--- a/ack/pace_test.go
+++ b/ack/pace_test.go
@@ -7,36 +7,36 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Replicas lag by 20 ms. A purchase must be confirmed soon after that, without
-// hundreds of questions to the replicas for each write.
+// Replicas lag by 20 ms. A write must be confirmed soon after that, without hundreds of status
+// queries to the replicas for each write.
 func TestPaceAsksAroundTheExpectedLag(t *testing.T) {
 	var p Pace
 	p.Saw(20 * time.Millisecond)
-	waited, asks := time.Duration(0), 0
+	waited, queries := time.Duration(0), 0
 	for waited < 20*time.Millisecond {
 		waited += p.Next(waited)
-		asks++
+		queries++
 	}
 	require.Less(t, waited, 23*time.Millisecond)
-	require.LessOrEqual(t, asks, 11)
+	require.LessOrEqual(t, queries, 11)
 }
 
-// A replica falls 30 s behind. Its writes wait, but must not flood the control
-// connection meanwhile.
+// A replica falls 30 s behind. The writes that wait for it must not flood the control connection
+// with status queries.
 func TestPaceSlowsDownWhenReplicasAreFarBehind(t *testing.T) {
 	var p Pace
 	p.Saw(20 * time.Millisecond)
-	waited, asks := time.Duration(0), 0
+	waited, queries := time.Duration(0), 0
 	for waited < 30*time.Second {
 		waited += p.Next(waited)
-		asks++
+		queries++
 	}
-	require.Less(t, asks, 800)
+	require.Less(t, queries, 800)
 }
 
-// One purchase waits a second through a failover; replicas lag by 20 ms again
-// afterwards. The purchases behind it were asked for after 200 ms each, for
-// seconds, because their own late asks kept the expected lag up.
+// Failure guarded against: a write waits one second through a failover, and the replicas lag by 20
+// ms again afterwards. For seconds, replicas are queried for each later write only after 200 ms,
+// because these late queries keep the expected lag high.
 func TestPaceForgetsAFailoverWithinAFewWrites(t *testing.T) {
 	var p Pace
 	p.Saw(20 * time.Millisecond)
@@ -50,7 +50,8 @@
 	require.Less(t, confirmedAfter(&p, lag), 30*time.Millisecond)
 }
 
-// confirmedAfter returns when an ask first finds a replica that lags so long.
+// confirmedAfter returns the time of the first query that finds the write on a replica with the
+// given lag.
 func confirmedAfter(p *Pace, lag time.Duration) time.Duration {
 	waited := time.Duration(0)
 	for waited < lag {
