--- a/routing/lag.go
+++ b/routing/lag.go
@@ -7,46 +7,46 @@
 )
 
 const (
-	// lagFine is the number of buckets to a doubling, so that a bucket is at
-	// most a quarter wide.
-	lagFine     = 4
-	lagFineBits = 2
-	// lagBuckets reach from 1 ms to 32 s; the last one holds what is above.
+	// lagSubBuckets is the number of buckets per doubling, so that a bucket's width is at most a
+	// quarter of its lower bound.
+	lagSubBuckets    = 4
+	lagSubBucketBits = 2
+	// lagBuckets cover 1 ms to 32 s; the last one includes all larger values.
 	lagBuckets = 56
-	// lagWindow is the count at which the histogram is halved, so that it
-	// shows the recent distribution.
+	// lagWindow is the count at which the histogram is halved, so that it represents the recent
+	// distribution.
 	lagWindow = 256
-	// lagMinimum is the count below which no estimate is given.
-	lagMinimum = 8
+	// lagMinSamples is the count below which no estimate is returned.
+	lagMinSamples = 8
 )
 
-// lagHistogram is the recent distribution of a replica's lag. It is written
-// for each status and read for each request, without a lock; a reader may see
-// a count that is being halved, which only blurs an estimate.
+// lagHistogram is the recent distribution of a replica's lag. It is written for each status report
+// and read for each request, without a lock. A reader may see counts while they are being halved,
+// which only makes an estimate less precise.
 type lagHistogram struct {
 	total  atomic.Int64
 	counts [lagBuckets]atomic.Int64
 }
 
-// lagBucket returns the bucket of d: exact below lagFine milliseconds, then
-// lagFine buckets to each doubling.
+// lagBucket returns the bucket of d: one bucket per millisecond below lagSubBuckets milliseconds,
+// then lagSubBuckets buckets per doubling.
 func lagBucket(d time.Duration) int {
 	ms := uint64(max(d.Milliseconds(), 0))
-	if ms < lagFine {
+	if ms < lagSubBuckets {
 		return int(ms)
 	}
-	shift := bits.Len64(ms) - lagFineBits - 1
-	fine := int(ms>>shift) % lagFine
-	return min((shift+1)*lagFine+fine, lagBuckets-1)
+	shift := bits.Len64(ms) - lagSubBucketBits - 1
+	fine := int(ms>>shift) % lagSubBuckets
+	return min((shift+1)*lagSubBuckets+fine, lagBuckets-1)
 }
 
-// bucketTop is the upper bound of a bucket.
+// bucketTop returns the upper bound of a bucket.
 func bucketTop(i int) time.Duration {
-	if i < lagFine {
+	if i < lagSubBuckets {
 		return time.Duration(i+1) * time.Millisecond
 	}
-	shift := i/lagFine - 1
-	return time.Duration((lagFine+i%lagFine+1)<<shift) * time.Millisecond
+	shift := i/lagSubBuckets - 1
+	return time.Duration((lagSubBuckets+i%lagSubBuckets+1)<<shift) * time.Millisecond
 }
 
 func (l *lagHistogram) add(d time.Duration) {
@@ -66,7 +66,7 @@
 // quantile returns an upper bound of the lag's q-quantile.
 func (l *lagHistogram) quantile(q float64) (time.Duration, bool) {
 	total := l.total.Load()
-	if total < lagMinimum {
+	if total < lagMinSamples {
 		return 0, false
 	}
 	rank := int64(q * float64(total))
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -7,11 +7,11 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// MaxCandidates bounds the servers of a group that are weighed; the rest of a
-// larger group is not considered. Groups have three servers.
+// MaxCandidates bounds the number of a group's servers that are considered; further servers of a
+// larger group are ignored. Groups have three servers.
 const MaxCandidates = 6
 
-// Reason says why a decision was made. It is recorded with the request.
+// Reason explains a Decision. It is recorded with the request.
 type Reason uint8
 
 const (
@@ -19,22 +19,21 @@
 	ReasonNone Reason = iota
 	// ReasonWrite means that the kind writes, or was not declared a read.
 	ReasonWrite
-	// ReasonExact means that the read asks for what the primary holds.
+	// ReasonExact means that the read requires the primary's data.
 	ReasonExact
 	// ReasonReplica means that a replica qualified.
 	ReasonReplica
 	// ReasonPrimaryFallback means that no replica qualified in time.
 	ReasonPrimaryFallback
-	// ReasonAwaitReplica means that a replica is about to qualify.
+	// ReasonAwaitReplica means that a replica is expected to qualify soon.
 	ReasonAwaitReplica
-	// ReasonProtectPrimary means that all replicas are behind and the primary
-	// has enough to do.
+	// ReasonProtectPrimary means that all replicas are behind and the primary is busy.
 	ReasonProtectPrimary
-	// ReasonNoPrimary means that the primary drains, is not known, or has not
-	// reached the session's floor in this view.
+	// ReasonNoPrimary means that the primary is draining, is unknown, or does not cover the
+	// session's floor in this view.
 	ReasonNoPrimary
-	// ReasonTrickle means that a server which had answered nothing for a while
-	// got one request to show whether it has recovered.
+	// ReasonTrickle means that a server that has answered nothing recently receives one request to
+	// detect whether it has recovered.
 	ReasonTrickle
 )
 
@@ -54,42 +53,41 @@
 // Candidate is a server that may serve the read, with its evidence.
 type Candidate struct {
 	Server *view.Server
-	// Service is the expected time of one request.
+	// ServiceTime is the expected time of one request.
 	Service time.Duration
-	// Outstanding counts this proxy's requests at the server.
+	// Outstanding is the number of this proxy's unanswered requests at the server.
 	Outstanding int
-	// Failing is the recent share of failures, from 0 to 1.
+	// FailureRate is the recent fraction of failures, from 0 to 1.
 	Failing float64
-	// Local is true in the caller's availability zone.
-	Local bool
-	board *evidence
+	// Local reports whether the server is in the proxy's availability zone.
+	Local    bool
+	evidence *evidence
 }
 
-// Candidates is what a Policy chooses from. It is passed by value, so that a
-// choice allocates nothing.
+// Candidates is the input of a Policy. It is passed by value, so that a choice allocates nothing.
 type Candidates struct {
-	// Replicas holds N replicas that qualify now.
+	// Replicas contains N replicas that qualify now.
 	Replicas [MaxCandidates]Candidate
 	N        int
 	// Primary qualifies if its Server is not nil.
 	Primary Candidate
-	// CatchUp is the time after which a replica is expected to qualify; it is
-	// known only if CatchUpKnown.
+	// CatchUp is the time after which a replica is expected to qualify. It is valid only if
+	// CatchUpKnown is true.
 	CatchUp      time.Duration
 	CatchUpKnown bool
 	// Waited is how long the request has waited for a server.
 	Waited time.Duration
-	// Deadline is how long the caller waits in all.
+	// Deadline is the total time that the caller waits.
 	Deadline time.Duration
-	// Now is the instant of the decision.
+	// Now is the time of the decision.
 	Now clock.Time
 }
 
-// Policy chooses among servers that qualify. Implementations hold no state that
-// changes; rnd is a fresh random number for each call.
+// Policy chooses among servers that qualify. Implementations have no mutable state.
 type Policy interface {
 	// Name is the policy's name in settings and tables.
 	Name() string
-	// Choose returns one of the candidates, or a time to wait.
+	// Choose returns one of the candidates, or a time to wait. rnd is a new random number for each
+	// call.
 	Choose(c Candidates, rnd uint64) Decision
 }
--- a/routing/policy_evidence.go
+++ b/routing/policy_evidence.go
@@ -5,41 +5,41 @@
 )
 
 const (
-	// trickleEvery is how often a server that gets none by choice gets a request.
-	trickleEvery = 500 * time.Millisecond
-	// trickleShare bounds these to one in trickleShare of this proxy's reads, so
-	// that with little traffic a failing server does not get most of it.
+	// trickleInterval is the interval between requests to a server that is not chosen by its cost.
+	trickleInterval = 500 * time.Millisecond
+	// trickleShare limits these requests to one in trickleShare of this proxy's reads, so that a
+	// failing server does not receive most of them under low traffic.
 	trickleShare = 10
-	// easeRatio and easeMargin: a server is eased off when its service time is
-	// above easeRatio times the best one's plus easeMargin.
-	easeRatio  = 4
-	easeMargin = 10 * time.Millisecond
-	// easeFailing is the share of failures from which a server is eased off.
-	easeFailing = 0.3
-	// remoteFactor is the cost of another availability zone.
+	// degradedRatio and degradedMargin define a slow server: it is degraded if its service time
+	// exceeds degradedRatio times the best one's plus degradedMargin.
+	degradedRatio  = 4
+	degradedMargin = 10 * time.Millisecond
+	// degradedFailureRate is the failure rate at or above which a server is degraded.
+	degradedFailureRate = 0.3
+	// remoteFactor multiplies the cost of a server in another availability zone.
 	remoteFactor = 1.25
-	// failingFactor is how much a share of failures of 1 multiplies the cost.
+	// failingFactor is the amount by which a failure rate of 1 increases the cost, as a multiple.
 	failingFactor = 10
-	// minService stands in for a server that has answered nothing yet.
+	// minService is the minimum service time, also assumed for a server without any answer yet.
 	minService = time.Millisecond
-	// waitShare is the part of a read's deadline that may go into waiting for
-	// a replica, unless it is set otherwise: 1/6.
+	// waitShare is the default divisor of a read's deadline that limits the wait for a replica to
+	// 1/6 of the deadline.
 	waitShare = 6
-	// primaryShare is how many of this proxy's requests may be at the primary
-	// before a read that a replica should serve waits instead.
-	primaryShare = 2
-	// protectWait is the wait before a protected primary is asked again.
+	// primaryLimit is the number of this proxy's requests outstanding at the primary at or above
+	// which a read that a replica should serve waits instead.
+	primaryLimit = 2
+	// protectWait is the wait before a read considers a busy primary again.
 	protectWait = 20 * time.Millisecond
 )
 
-// Evidence is the product's policy; see the package comment.
+// EvidencePolicy is the policy for production; see the package comment.
 type Evidence struct {
-	// WaitShare bounds the wait for a replica to the deadline divided by it; 0
-	// takes the default, and a negative number never waits.
+	// WaitShare limits the wait for a replica to the deadline divided by WaitShare. 0 means the
+	// default, and a negative value disables the wait.
 	WaitShare int
 }
 
-func (p Evidence) patience(deadline time.Duration) time.Duration {
+func (p Evidence) waitTimeout(deadline time.Duration) time.Duration {
 	switch {
 	case p.WaitShare < 0:
 		return 0
@@ -65,13 +65,13 @@
 	if i := cheaperOfTwo(&c, best, rnd); i >= 0 {
 		return Decision{Server: c.Replicas[i].Server, Reason: ReasonReplica}
 	}
-	return chooseAmongEased(c)
+	return chooseAmongDegraded(c)
 }
 
-// chooseAmongEased is for when every replica that qualifies is slow or failing:
-// the primary helps out if it has little to do, else the least bad replica.
-func chooseAmongEased(c Candidates) Decision {
-	if c.Primary.Server != nil && c.Primary.Outstanding < primaryShare {
+// chooseAmongDegraded chooses a server when every replica that qualifies is degraded: the primary
+// if it is not busy, and otherwise the replica with the lowest cost.
+func chooseAmongDegraded(c Candidates) Decision {
+	if c.Primary.Server != nil && c.Primary.Outstanding < primaryLimit {
 		return Decision{Server: c.Primary.Server, Reason: ReasonPrimaryFallback}
 	}
 	least := 0
@@ -83,43 +83,42 @@
 	return Decision{Server: c.Replicas[least].Server, Reason: ReasonReplica}
 }
 
-// chooseWithoutReplica waits briefly if a replica is about to qualify, and goes
-// to the primary otherwise.
+// chooseWithoutReplica waits briefly if a replica is expected to qualify soon, and chooses the
+// primary otherwise.
 //
-// Failure guarded against: when all replicas fall behind, their whole load
-// moves to the primary and starves the writes. It shows as purchases that time
-// out while the primary serves page views. Only primaryShare requests of this
-// proxy go there at once; the rest wait within their deadline.
+// Failure guarded against: when all replicas fall behind, their whole load moves to the primary and
+// starves the writes, which time out while the primary serves reads. Only primaryLimit requests of
+// this proxy may be at the primary at a time; further reads wait within their deadlines.
 func (p Evidence) chooseWithoutReplica(c Candidates) Decision {
-	limit := p.patience(c.Deadline)
+	limit := p.waitTimeout(c.Deadline)
 	if c.CatchUpKnown && c.CatchUp > 0 && c.Waited+c.CatchUp <= limit {
 		return Decision{Wait: c.CatchUp, Reason: ReasonAwaitReplica}
 	}
 	if c.Primary.Server == nil {
-		return Decision{Wait: askAgain, Reason: ReasonNoPrimary}
+		return Decision{Wait: retryInterval, Reason: ReasonNoPrimary}
 	}
-	if c.Primary.Outstanding >= primaryRoom(c) {
+	if c.Primary.Outstanding >= primaryAllowance(c) {
 		return Decision{Wait: protectWait, Reason: ReasonProtectPrimary}
 	}
 	return Decision{Server: c.Primary.Server, Reason: ReasonPrimaryFallback}
 }
 
-// primaryRoom is how many of this proxy's requests may be at the primary for
-// this read to go there. It doubles for a read that has waited for half of its
-// deadline: otherwise younger ones pass it by chance until it is too late.
-func primaryRoom(c Candidates) int {
+// primaryAllowance returns the number of this proxy's requests outstanding at the primary below
+// which this read may use the primary. The number doubles for a read that has waited for more than
+// half of its deadline; otherwise newer reads may overtake it by chance until its deadline passes.
+func primaryAllowance(c Candidates) int {
 	if c.Waited > c.Deadline/2 {
-		return 2 * primaryShare
+		return 2 * primaryLimit
 	}
-	return primaryShare
+	return primaryLimit
 }
 
-// bestService is the service time that the others are judged against. The
-// primary counts too, so that two replicas which are both slow are found.
+// bestService returns the service time to which the others are compared. It includes the primary,
+// so that two slow replicas are both detected.
 func bestService(c *Candidates) time.Duration {
 	best := time.Duration(0)
 	consider := func(x *Candidate) {
-		if x.Server == nil || x.Service <= 0 || x.Failing >= easeFailing {
+		if x.Server == nil || x.Service <= 0 || x.Failing >= degradedFailureRate {
 			return
 		}
 		if best == 0 || x.Service < best {
@@ -133,40 +132,39 @@
 	return max(best, minService)
 }
 
-func easedOff(x *Candidate, best time.Duration) bool {
-	return x.Failing >= easeFailing || x.Service > easeRatio*best+easeMargin
+func isDegraded(x *Candidate, best time.Duration) bool {
+	return x.Failing >= degradedFailureRate || x.Service > degradedRatio*best+degradedMargin
 }
 
-// trickleTo returns a replica that has answered nothing for a while, as one that
-// is eased off or loses each comparison.
+// trickleTo returns the index of a replica that has answered nothing recently, because it is
+// degraded or always has the higher cost, or -1 if there is none.
 //
-// Failure guarded against: a server that was slow once is never asked again,
-// because its last latency stands. It shows as a recovered replica that stays
-// idle. One request each trickleEvery, and at most one in trickleShare, brings
-// the evidence up to date.
+// Failure guarded against: a server that was slow once receives no more requests, because its last
+// latency never changes, and the replica stays idle after it has recovered. One request per
+// trickleInterval, and at most one in trickleShare, updates the evidence.
 func trickleTo(c *Candidates, best time.Duration, rnd uint64) int {
 	if (rnd>>16)%trickleShare != 0 {
 		return -1
 	}
 	for i := range c.N {
 		x := &c.Replicas[i]
-		if c.N == 1 && !easedOff(x, best) {
+		if c.N == 1 && !isDegraded(x, best) {
 			return -1
 		}
-		if x.board != nil && x.board.takeTrickle(c.Now) {
+		if x.evidence != nil && x.evidence.claimTrickle(c.Now) {
 			return i
 		}
 	}
 	return -1
 }
 
-// cheaperOfTwo returns the cheaper of two random replicas that are not eased
-// off, or -1 if there is none.
+// cheaperOfTwo returns the index of the replica with the lower cost among two random replicas that
+// are not degraded, or -1 if there is none.
 func cheaperOfTwo(c *Candidates, best time.Duration, rnd uint64) int {
 	var fit [MaxCandidates]int
 	n := 0
 	for i := range c.N {
-		if !easedOff(&c.Replicas[i], best) {
+		if !isDegraded(&c.Replicas[i], best) {
 			fit[n] = i
 			n++
 		}
@@ -183,7 +181,8 @@
 	return a
 }
 
-// cost is the expected time until the request would be answered.
+// cost returns the expected time until the request is answered, weighted by the server's failure
+// rate and zone.
 func cost(x *Candidate) float64 {
 	t := float64(max(x.Service, minService)) * float64(x.Outstanding+1)
 	t *= 1 + failingFactor*x.Failing
--- a/routing/ring.go
+++ b/routing/ring.go
@@ -5,10 +5,10 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// maxSamples bounds a group's samples: 256 of 32 bytes.
+// maxSamples bounds a group's samples: 256 of 32 bytes each.
 const maxSamples = 256
 
-// sample says that the primary was at pos or later when asked.
+// sample records that the primary had reached at least pos when it was queried.
 type sample struct {
 	asked clock.Time
 	pos   timeline.Position
@@ -17,8 +17,8 @@
 // samples is an immutable list in ascending order of asked and pos.
 type samples []sample
 
-// with returns s with one more sample. A sample that is out of order is left
-// out: the list stays sorted, and a missing sample only makes ages larger.
+// with returns s with one more sample. It ignores a sample that is out of order: the list stays
+// sorted, and a missing sample only increases the computed ages.
 func (s samples) with(n sample) samples {
 	if len(s) == 0 {
 		return samples{n}
@@ -28,7 +28,7 @@
 		return s
 	}
 	if n.pos == last.pos {
-		// An idle primary: the later instant says strictly more.
+		// The primary is idle: the later sample implies the earlier one.
 		next := append(make(samples, 0, maxSamples), s...)
 		next[len(next)-1] = n
 		return next
@@ -40,9 +40,9 @@
 	return append(next, n)
 }
 
-// thinned drops every other sample of the older half. Old ages become coarser,
-// always rounded up, while the list reaches exponentially far back: a replica
-// that is half a minute behind still has a known age.
+// thinned drops every other sample of the older half. Large ages become coarser and are always
+// rounded up, but the list covers an exponentially longer time: the age of a replica that is 30 s
+// behind is still known.
 func (s samples) thinned() samples {
 	half := len(s) / 2
 	out := s[:0]
@@ -55,9 +55,9 @@
 	return out
 }
 
-// reached returns when the primary was first known to have passed pos: the
-// instant of the oldest sample that covers it.
-func (s samples) reached(h timeline.History, pos timeline.Position) (clock.Time, bool) {
+// reachedAt returns when the primary was first known to have reached pos: the time of the oldest
+// sample that covers it.
+func (s samples) reachedAt(h timeline.History, pos timeline.Position) (clock.Time, bool) {
 	for i := len(s) - 1; i >= 0; i-- {
 		if h.Covers(s[i].pos, pos) {
 			continue
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -22,13 +22,13 @@
 	purchase = &profile.Kind{Name: "purchase", Deadline: time.Second}
 )
 
-// fixture is one group of three in term 2, which began at 100: a is the
-// primary, b and c are replicas.
+// fixture is one group of three servers in term 2, which began at LSN 100: a is the primary, b and
+// c are replicas.
 type fixture struct {
-	board  *Board
-	router *Router
-	view   *view.View
-	group  *view.Group
+	tracker *Board
+	router  *Router
+	view    *view.View
+	group   *view.Group
 }
 
 func newFixture() *fixture {
@@ -37,12 +37,12 @@
 		History: timeline.History{{Term: 1}, {Term: 2, LSN: 100}},
 		Servers: []view.Server{{ID: "a", Zone: "z1"}, {ID: "b", Zone: "z1"}, {ID: "c", Zone: "z2"}},
 	}
-	b := NewBoard()
+	t := NewBoard()
 	return &fixture{
-		board:  b,
-		router: NewRouter(b, Evidence{}, 1),
-		view:   &view.View{Groups: map[string]*view.Group{"g": g}},
-		group:  g,
+		tracker: t,
+		router:  NewRouter(t, Evidence{}, 1),
+		view:    &view.View{Groups: map[string]*view.Group{"g": g}},
+		group:   g,
 	}
 }
 
@@ -50,13 +50,13 @@
 	return timeline.Position{Term: term, LSN: lsn}
 }
 
-// replica records a replica's status that was asked for at at.
+// replica records a replica's status that was queried at the time at.
 func (f *fixture) replica(id target.ID, p timeline.Position, promised timeline.Term, at clock.Time) {
-	f.board.Observe(id, target.Status{Server: id, Role: target.RoleReplica, Term: p.Term, Promised: promised, LSN: p.LSN}, at, at)
+	f.tracker.Observe(id, target.Status{Server: id, Role: target.RoleReplica, Term: p.Term, Promised: promised, LSN: p.LSN}, at, at)
 }
 
 func (f *fixture) primary(p timeline.Position, at clock.Time) {
-	f.board.ObservePrimary("g", p, at)
+	f.tracker.ObservePrimary("g", p, at)
 }
 
 func (f *fixture) route(k *profile.Kind, floor timeline.Position, now clock.Time) Decision {
@@ -76,7 +76,7 @@
 	requireServer(t, "a", f.route(nil, pos(1, 120), second))
 }
 
-func TestFreshReplicaServesAgedRead(t *testing.T) {
+func TestFreshReplicaServesBoundedStalenessRead(t *testing.T) {
 	f := newFixture()
 	f.primary(pos(2, 150), second)
 	f.replica("b", pos(2, 150), 2, second)
@@ -85,9 +85,8 @@
 	require.Equal(t, ReasonReplica, d.Reason)
 }
 
-// A buyer reserves a set at 160 and opens the page again. The replica is at
-// 150 and would show the set as free: it must not serve this session, while
-// others may still use it.
+// A session writes at 160 and then reads. The replica is at 150 and would return the data from
+// before the write: it must not serve this session, while other sessions may still use it.
 func TestReplicaBehindTheFloorIsPassedOver(t *testing.T) {
 	f := newFixture()
 	f.primary(pos(2, 150), second)
@@ -96,37 +95,37 @@
 	requireServer(t, "b", f.route(browse, pos(2, 140), second+100))
 }
 
-// A replica stands still while the primary moves on. Its own answer says
-// nothing of that; only the primary's samples show that its data has aged.
+// A replica makes no progress while the primary advances. The replica's own status report does not
+// reveal this; only the primary's samples show that the replica's data is too old.
 func TestReplicaOlderThanTheStatedAgeIsPassedOver(t *testing.T) {
 	f := newFixture()
 	for i := range clock.Time(5) {
 		f.primary(pos(2, 150+timeline.LSN(i)), second*(i+1))
 		f.replica("b", pos(2, 150), 2, second*(i+1))
 	}
-	age, ok := f.board.Age(f.group, "b", 5*second)
+	age, ok := f.tracker.Age(f.group, "b", 5*second)
 	require.True(t, ok)
 	require.Equal(t, 4*time.Second, age)
 	requireServer(t, "a", f.route(browse, timeline.Position{}, 5*second))
 }
 
-// A proxy is cut off together with a superseded primary, which answers that
-// all is well. No replica that can be asked has kept its promise to the old
-// term, so nothing proves that the old primary's samples are the group's.
+// A proxy is partitioned together with a superseded primary, whose status reports look normal. The
+// reachable replica has promised a later term, so nothing proves that the old primary's newer
+// samples are the group's.
 func TestSamplesOfAnUnwitnessedPrimaryProveNothing(t *testing.T) {
 	f := newFixture()
 	f.primary(pos(2, 150), second)
 	f.replica("b", pos(2, 150), 2, second)
 	f.primary(pos(2, 151), 5*second)
 	f.replica("b", pos(2, 151), 3, 5*second)
-	age, ok := f.board.Age(f.group, "b", 5*second)
+	age, ok := f.tracker.Age(f.group, "b", 5*second)
 	require.True(t, ok)
-	require.Equal(t, 4*time.Second, age, "current as of the last witnessed sample only")
+	require.Equal(t, 4*time.Second, age, "data must be current only as of the last witnessed sample")
 	require.Nil(t, f.route(browse, timeline.Position{}, 5*second).Server)
 }
 
-// In a group of five one witness is not enough: the other three may have
-// promised a later term and made a primary of it.
+// In a group of five one witness is not enough: the other three servers may have promised a later
+// term, in which one of them was promoted.
 func TestLargerGroupNeedsMoreWitnesses(t *testing.T) {
 	f := newFixture()
 	f.group.Servers = append(f.group.Servers, view.Server{ID: "d"}, view.Server{ID: "e"})
@@ -137,19 +136,19 @@
 	require.NotNil(t, f.route(browse, timeline.Position{}, second).Server)
 }
 
-// The old primary comes back after a promotion at 100 and still claims to
-// lead, with a log up to 400. Its entries beyond 100 never happened.
+// The old primary returns after a promotion at 100 and still claims to lead, with a log up to 400.
+// Its entries beyond 100 were discarded.
 func TestSupersededPrimaryAndItsFollowerNeverQualify(t *testing.T) {
 	f := newFixture()
 	f.primary(pos(2, 100), second)
 	f.replica("c", pos(1, 400), 2, second)
 	st := target.Status{Server: "b", Role: target.RolePrimary, Term: 1, Promised: 1, LSN: 400}
-	f.board.Observe("b", st, second, second)
+	f.tracker.Observe("b", st, second, second)
 	requireServer(t, "a", f.route(browse, timeline.Position{}, second))
 }
 
-// A session comes from a proxy that has heard of term 3. This proxy's view has
-// term 2 only and cannot know which server holds the write.
+// A session was served by a proxy whose view has term 3. This proxy's view has only term 2 and does
+// not show which server has the session's write.
 func TestFloorOfUnknownTermWaitsForTheView(t *testing.T) {
 	f := newFixture()
 	f.primary(pos(2, 500), second)
@@ -170,8 +169,8 @@
 	require.Nil(t, f.route(purchase, timeline.Position{}, second).Server)
 }
 
-// Each guard is taken out once; the server that must not be chosen then is.
-func TestEachGuardIsWhatKeepsTheWrongServerOut(t *testing.T) {
+// Each guard is disabled once; the server that must not be chosen is then chosen.
+func TestEachGuardExcludesTheWrongServer(t *testing.T) {
 	superseded := target.Status{Server: "b", Role: target.RolePrimary, Term: 1, Promised: 1, LSN: 400}
 	cases := []struct {
 		guard guard.Name
@@ -194,14 +193,14 @@
 		{GuardHistory, timeline.Position{}, func(f *fixture) {
 			f.primary(pos(2, 100), 10*second)
 			f.replica("c", pos(1, 90), 2, 10*second)
-			f.board.Observe("b", superseded, 10*second, 10*second)
+			f.tracker.Observe("b", superseded, 10*second, 10*second)
 		}},
 	}
 	for _, c := range cases {
 		for _, out := range []bool{false, true} {
 			f := newFixture()
 			if out {
-				f.board.Guards = guard.Without(c.guard)
+				f.tracker.Guards = guard.Without(c.guard)
 			}
 			c.set(f)
 			d := f.route(browse, c.floor, 10*second)
@@ -211,7 +210,7 @@
 	}
 }
 
-// warm lets both replicas show a steady lag of 200 ms up to 10 s.
+// warm records a steady lag of 200 ms for both replicas up to the time 10 s.
 func (f *fixture) warm() clock.Time {
 	const step = clock.Time(50 * time.Millisecond)
 	now := second
@@ -228,28 +227,28 @@
 func TestRecentWriterWaitsBrieflyForAReplica(t *testing.T) {
 	f := newFixture()
 	now := f.warm()
-	patient := *browse
-	patient.Deadline = 4 * time.Second
+	longDeadline := *browse
+	longDeadline.Deadline = 4 * time.Second
 	newest := 1000 + timeline.LSN(now/clock.Time(50*time.Millisecond))
-	d := f.route(&patient, pos(2, newest), now)
+	d := f.route(&longDeadline, pos(2, newest), now)
 	require.Equal(t, ReasonAwaitReplica, d.Reason)
 	require.InDelta(t, 200, d.Wait.Milliseconds(), 60)
 
-	hasty := *browse
-	hasty.Deadline = 400 * time.Millisecond
-	requireServer(t, "a", f.route(&hasty, pos(2, newest), now))
+	shortDeadline := *browse
+	shortDeadline.Deadline = 400 * time.Millisecond
+	requireServer(t, "a", f.route(&shortDeadline, pos(2, newest), now))
 }
 
-// Both replicas fall far behind and every page view would move to the primary,
-// where purchases then time out. Only a few go there at once.
+// Failure guarded against: both replicas fall far behind, every read moves to the primary, and
+// writes time out there. Only a few reads may use the primary at the same time.
 func TestPrimaryIsProtectedWhenAllReplicasAreBehind(t *testing.T) {
 	f := newFixture()
 	now := f.warm() + 30*second
 	f.primary(pos(2, 5000), now)
 	f.replica("b", pos(2, 1100), 2, now)
 	requireServer(t, "a", f.route(browse, timeline.Position{}, now))
-	for range primaryShare {
-		f.board.Begin("a", now)
+	for range primaryLimit {
+		f.tracker.Begin("a", now)
 	}
 	d := f.route(browse, timeline.Position{}, now)
 	require.Equal(t, ReasonProtectPrimary, d.Reason)
@@ -262,8 +261,8 @@
 	f.replica("c", pos(2, 150), 2, at)
 }
 
-// served sends n reads over time and returns the share of b. Each server
-// answers as answer says.
+// served sends n reads over time and returns the fraction that b served. answer returns each
+// server's latency and whether its request fails.
 func (f *fixture) served(n int, from clock.Time, answer func(id target.ID) (time.Duration, bool)) float64 {
 	count := 0
 	for i := range n {
@@ -273,9 +272,9 @@
 		if d.Server == nil {
 			continue
 		}
-		f.board.Begin(d.Server.ID, now)
+		f.tracker.Begin(d.Server.ID, now)
 		latency, failed := answer(d.Server.ID)
-		f.board.End(d.Server.ID, now.Add(latency), latency, failed)
+		f.tracker.End(d.Server.ID, now.Add(latency), latency, failed)
 		if d.Server.ID == "b" {
 			count++
 		}
@@ -285,10 +284,9 @@
 
 func quick(target.ID) (time.Duration, bool) { return 2 * time.Millisecond, false }
 
-// A replica falls to a tenth of its speed. It answers every probe, but its
-// callers wait: their own requests must move away, and come back when it is
-// well again.
-func TestSlowReplicaIsEasedOffAndRecovers(t *testing.T) {
+// A replica's latency rises from 2 ms to 60 ms, while it still answers every status query. Requests
+// must move to other servers, and return once the replica has recovered.
+func TestSlowReplicaIsDegradedAndRecovers(t *testing.T) {
 	f := newFixture()
 	f.served(200, second, quick)
 	slow := func(id target.ID) (time.Duration, bool) {
@@ -303,7 +301,7 @@
 	require.Greater(t, f.served(500, 70*second, quick), 0.3)
 }
 
-func TestFastFailingReplicaIsEasedOffAndRecovers(t *testing.T) {
+func TestFastFailingReplicaIsDegradedAndRecovers(t *testing.T) {
 	f := newFixture()
 	f.served(200, second, quick)
 	failing := func(id target.ID) (time.Duration, bool) {
@@ -315,13 +313,13 @@
 	require.Greater(t, f.served(500, 70*second, quick), 0.3)
 }
 
-// A replica takes requests and answers none. No latency is ever measured, so
-// only the age of the outstanding work shows it.
-func TestSilentReplicaIsEasedOff(t *testing.T) {
+// A replica accepts requests and answers none. No latency is ever measured, so only the age of the
+// outstanding requests reveals the failure.
+func TestUnresponsiveReplicaIsDegraded(t *testing.T) {
 	f := newFixture()
 	f.served(200, second, quick)
 	now := 10 * second
-	f.board.Begin("b", now)
+	f.tracker.Begin("b", now)
 	require.Less(t, f.served(200, now+second, quick), 0.1)
 }
 
