--- a/ownership/budget.go
+++ b/ownership/budget.go
@@ -6,19 +6,19 @@
 	"endivemoor.example/endivemoor/store"
 )
 
-// Budget is the number of calls a second that the whole fleet makes to the
-// store, and how they are shared by purpose. It does not grow with the fleet:
-// the more callers a purpose has, the longer each of them waits between calls.
+// Budget is the number of calls per second that the whole fleet may make to the store, and its
+// division by purpose. It does not grow with the fleet: the more callers a purpose has, the longer
+// each of them waits between calls.
 type Budget struct {
-	// Total is in calls a second; default 200, a tenth of the store's reads.
+	// Total is in calls per second. The default is 200, a tenth of the reads that the store can
+	// serve.
 	Total float64
-	// Shares are parts of Total by purpose, with a sum of at most 1.
+	// Shares contains the fraction of Total for each purpose; the sum is at most 1.
 	Shares map[store.Purpose]float64
 }
 
-// DefaultBudget is what a daemon uses unless it is set otherwise. Writes
-// (leases, groups, audit) stay within a tenth of the several hundred writes a
-// second that the store takes.
+// DefaultBudget returns the budget that a daemon uses by default. Writes (leases, groups, audit)
+// stay within a tenth of the several hundred writes per second that the store accepts.
 func DefaultBudget() Budget {
 	return Budget{
 		Total: 200,
@@ -35,17 +35,17 @@
 	}
 }
 
-// Interval returns how long each of n callers of the purpose waits between two
-// calls, so that all together stay within the share; never less than least.
-// A purpose without a share gets the longest wait.
-func (b Budget) Interval(p store.Purpose, n int, least time.Duration) time.Duration {
+// Interval returns how long each of n callers of the purpose waits between two calls, so that all
+// callers together stay within the purpose's share. It returns at least minimum and at most
+// maxInterval. A purpose without a share gets maxInterval.
+func (b Budget) Interval(p store.Purpose, n int, minimum time.Duration) time.Duration {
 	rate := b.Total * b.Shares[p]
 	if rate <= 0 {
 		return maxInterval
 	}
 	each := time.Duration(float64(max(n, 1)) / rate * float64(time.Second))
-	return min(max(each, least), maxInterval)
+	return min(max(each, minimum), maxInterval)
 }
 
-// maxInterval bounds the wait: beyond it a purpose needs another mechanism.
+// maxInterval bounds the interval; a purpose that needs a longer one requires another mechanism.
 const maxInterval = time.Hour
--- a/ownership/ownership_test.go
+++ b/ownership/ownership_test.go
@@ -40,9 +40,9 @@
 	})
 }
 
-// One VM dies. If the assignment moved other VMs' groups too, a single death
-// would shake the control of the whole fleet.
-func TestDeathMovesOnlyTheDeadOnesGroups(t *testing.T) {
+// Failure guarded against: the assignment also moves groups of other VMs when one VM dies, so that
+// a single dead VM disrupts the control of all groups.
+func TestDeadVMMovesOnlyItsGroups(t *testing.T) {
 	vms := fleet(30, 3)
 	before, after := NewRing(vms), NewRing(vms[1:])
 	moved := 0
@@ -61,14 +61,14 @@
 
 func TestAssignmentDoesNotDependOnOrder(t *testing.T) {
 	vms := fleet(12, 4)
-	turned := append(append([]membership.VM{}, vms[5:]...), vms[:5]...)
+	rotated := append(append([]membership.VM{}, vms[5:]...), vms[:5]...)
 	for i := range 100 {
 		group := fmt.Sprint("g", i)
-		require.Equal(t, Probers(group, vms, 3), Probers(group, turned, 3))
+		require.Equal(t, Probers(group, vms, 3), Probers(group, rotated, 3))
 	}
 }
 
-func TestNobodyLiveOwnsNothing(t *testing.T) {
+func TestNoLiveVMsMeansNoOwner(t *testing.T) {
 	_, ok := Owner("g", nil)
 	require.False(t, ok)
 	require.Empty(t, Probers("g", nil, 3))
