--- a/ack/gate.go
+++ b/ack/gate.go
@@ -36,11 +36,11 @@
 }
 
 // Result is the action to take for a write.
-type Verdict uint8
+type Result uint8
 
 const (
 	// Wait means that the replicas are to be queried again.
-	Wait Verdict = iota
+	Wait Result = iota
 	// Ack means that the write is to be acknowledged to the caller.
 	Ack
 	// Unknown means that the caller is to be answered that the outcome is unknown.
@@ -48,7 +48,7 @@
 )
 
 // String returns the result's name in logs.
-func (r Verdict) String() string {
+func (r Result) String() string {
 	switch r {
 	case Ack:
 		return "ack"
@@ -75,8 +75,8 @@
 
 // Decision is a gate's result for a write, with its reason.
 type Decision struct {
-	Verdict Verdict
-	Reason  Reason
+	Result Result
+	Reason Reason
 }
 
 // Gate decides whether a write may be acknowledged, given the current evidence. Its implementations
@@ -108,18 +108,18 @@
 
 // Mix uses the gate Confirmed for writes of Confirmed durability and the gate Other for all others.
 type Mix struct {
-	Confirmed, Rest Gate
+	Confirmed, Other Gate
 }
 
 // Standard returns the gate that profiles assume.
-func Standard() Gate { return Mix{Confirmed: Confirm{}, Rest: Witness{}} }
+func Standard() Gate { return Mix{Confirmed: Confirm{}, Other: Witness{}} }
 
 // Decide implements Gate.
 func (g Mix) Decide(w Write, e *Evidence, now clock.Time) Decision {
 	if w.Durability == profile.Confirmed {
 		return g.Confirmed.Decide(w, e, now)
 	}
-	return g.Rest.Decide(w, e, now)
+	return g.Other.Decide(w, e, now)
 }
 
 // Decide implements Gate.
--- a/ack/gate_test.go
+++ b/ack/gate_test.go
@@ -67,9 +67,9 @@
 	e := NewEvidence(group(1, "s1", timeline.Start{Term: 1}))
 	e.Grant(Permission{Term: 1, Asked: 100, Duration: 100})
 	gate := Lease{MaxDrift: 0.1, Margin: 10}
-	require.Equal(t, Ack, gate.Decide(write(1, 10, profile.Witnessed), e, 179).Verdict)
-	require.Equal(t, Wait, gate.Decide(write(1, 10, profile.Witnessed), e, 180).Verdict)
-	require.Equal(t, Wait, gate.Decide(write(2, 10, profile.Witnessed), e, 110).Verdict)
+	require.Equal(t, Ack, gate.Decide(write(1, 10, profile.Witnessed), e, 179).Result)
+	require.Equal(t, Wait, gate.Decide(write(1, 10, profile.Witnessed), e, 180).Result)
+	require.Equal(t, Wait, gate.Decide(write(2, 10, profile.Witnessed), e, 110).Result)
 }
 
 // Failure guarded against: a witness's answer from before the commit, either cached or late, or an
@@ -86,7 +86,7 @@
 		e := NewEvidence(group(1, "s1", timeline.Start{Term: 1}))
 		e.Observe(tt.report)
 		w := write(1, 10, profile.Witnessed)
-		require.Equal(t, Wait, Witness{}.Decide(w, e, 110).Verdict)
-		require.Equal(t, Ack, Witness{Guards: guard.Without(tt.guard)}.Decide(w, e, 110).Verdict)
+		require.Equal(t, Wait, Witness{}.Decide(w, e, 110).Result)
+		require.Equal(t, Ack, Witness{Guards: guard.Without(tt.guard)}.Decide(w, e, 110).Result)
 	}
 }
--- a/ack/pace.go
+++ b/ack/pace.go
@@ -28,7 +28,7 @@
 }
 
 // RecordLag records the time from a commit to its confirmation.
-func (p *Pace) Saw(lag time.Duration) {
+func (p *Pace) RecordLag(lag time.Duration) {
 	old := p.lag.Load()
 	if old == 0 {
 		p.lag.Store(int64(lag))
--- a/ack/pace_test.go
+++ b/ack/pace_test.go
@@ -11,7 +11,7 @@
 // queries to the replicas for each write.
 func TestPaceAsksAroundTheExpectedLag(t *testing.T) {
 	var p Pace
-	p.Saw(20 * time.Millisecond)
+	p.RecordLag(20 * time.Millisecond)
 	waited, queries := time.Duration(0), 0
 	for waited < 20*time.Millisecond {
 		waited += p.Next(waited)
@@ -25,7 +25,7 @@
 // with status queries.
 func TestPaceSlowsDownWhenReplicasAreFarBehind(t *testing.T) {
 	var p Pace
-	p.Saw(20 * time.Millisecond)
+	p.RecordLag(20 * time.Millisecond)
 	waited, queries := time.Duration(0), 0
 	for waited < 30*time.Second {
 		waited += p.Next(waited)
@@ -39,13 +39,13 @@
 // because these late queries keep the expected lag high.
 func TestPaceForgetsAFailoverWithinAFewWrites(t *testing.T) {
 	var p Pace
-	p.Saw(20 * time.Millisecond)
+	p.RecordLag(20 * time.Millisecond)
 	for range 4 {
-		p.Saw(time.Second)
+		p.RecordLag(time.Second)
 	}
 	const lag = 20 * time.Millisecond
 	for range 12 {
-		p.Saw(confirmedAfter(&p, lag))
+		p.RecordLag(confirmedAfter(&p, lag))
 	}
 	require.Less(t, confirmedAfter(&p, lag), 30*time.Millisecond)
 }
--- a/controller/gate.go
+++ b/controller/gate.go
@@ -60,9 +60,9 @@
 	answers := g.pollOthers(ctx, group, w)
 	for {
 		decision := g.decide(w, evidence)
-		switch decision.Verdict {
+		switch decision.Result {
 		case ack.Ack:
-			g.pace(group.Name).Saw(g.Clock.Now().Sub(w.Committed))
+			g.pace(group.Name).RecordLag(g.Clock.Now().Sub(w.Committed))
 			return nil
 		case ack.Unknown:
 			return lost(pos, decision.Reason)
--- a/controller/group.go
+++ b/controller/group.go
@@ -105,7 +105,7 @@
 	switch a := action.(type) {
 	case failover.Probe:
 		go g.probe(ctx, a)
-	case failover.AskPeers:
+	case failover.QueryPeers:
 		go g.Peers.AskPeers(ctx, g.name, func(r failover.PeerReport) { r.Asked = a.Asked; g.Post(r) })
 	case failover.ReadLease:
 		go g.readLease(ctx, a)
--- a/controller/watched.go
+++ b/controller/watched.go
@@ -99,7 +99,7 @@
 func (m *Manager) relieve(id target.ID) {
 	for name, group := range m.Views.Load().Groups {
 		if group.Primary == id {
-			m.post(name, failover.Relieve{Server: id})
+			m.post(name, failover.HandoverRequested{Server: id})
 		}
 	}
 }
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -35,7 +35,7 @@
 		Views:  d.views,
 		Links:  d.links,
 		Duty:   d.duty,
-		Router: routing.NewRouter(d.board, routing.Evidence{}, newRand().Uint64()),
+		Router: routing.NewRouter(d.board, routing.EvidencePolicy{}, newRand().Uint64()),
 	}
 	cfg := proxy.Config{
 		View:         d.views,
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -85,7 +85,7 @@
 		Serve:    d.set.VM.Groups,
 		Drains:   d.drains,
 		Duty:     d.duty,
-		Forget:   d.board.Forget,
+		Forget:   d.board.Retain,
 		Dropped:  dropped.Inc,
 	}
 	return nil
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -54,7 +54,7 @@
 	clk         *monotonic.Clock
 	metrics     *prometheus.Registry
 	views       *view.Holder
-	board       *routing.Board
+	board       *routing.Tracker
 	evidence    *controller.Evidence
 	links       *control.Links
 	traffic     *traffic.Meter
@@ -106,7 +106,7 @@
 		clk:         monotonic.New(),
 		metrics:     prometheus.NewRegistry(),
 		views:       view.NewHolder(),
-		board:       routing.NewBoard(),
+		board:       routing.NewTracker(),
 		evidence:    controller.NewEvidence(),
 		requests:    explain.NewRing(keepRequests),
 		promotions:  explain.NewRing(keepPromotions),
--- a/failover/action.go
+++ b/failover/action.go
@@ -21,7 +21,7 @@
 
 // QueryPeers queries VMs of every availability zone for their evidence of a server. A peer that has
 // no evidence of its own probes the server before it replies.
-type AskPeers struct {
+type QueryPeers struct {
 	Server target.ID
 	Asked  clock.Time
 }
@@ -90,7 +90,7 @@
 }
 
 func (Probe) action()      {}
-func (AskPeers) action()   {}
+func (QueryPeers) action() {}
 func (ReadLease) action()  {}
 func (RenewLease) action() {}
 func (ReadGroup) action()  {}
--- a/failover/attempt.go
+++ b/failover/attempt.go
@@ -109,7 +109,7 @@
 	if m.now.Before(a.commandAt[id]) {
 		return false
 	}
-	a.commandAt[id] = m.now.Add(m.cfg.OrderRetry)
+	a.commandAt[id] = m.now.Add(m.cfg.CommandRetry)
 	return true
 }
 
@@ -346,7 +346,7 @@
 	}
 }
 
-func (m *Machine) onRelieve(ev Relieve) {
+func (m *Machine) onRelieve(ev HandoverRequested) {
 	if ev.Server == m.group.Primary {
 		m.handoverFrom = ev.Server
 	}
--- a/failover/config.go
+++ b/failover/config.go
@@ -35,7 +35,7 @@
 	ReportTTL time.Duration
 	// PeerQueryInterval is the interval between queries to peers while the primary is
 	// unresponsive.
-	AskEvery time.Duration
+	PeerQueryInterval time.Duration
 
 	// LeaseDuration is how long a lease is valid after its renewal was sent.
 	LeaseDuration time.Duration
@@ -57,7 +57,7 @@
 	StoreRetry time.Duration
 
 	// CommandRetry is the interval between repetitions of an unanswered Fence, Promote or Follow.
-	OrderRetry time.Duration
+	CommandRetry time.Duration
 	// FenceTimeout is the time after which an attempt that no server has answered is ended.
 	FenceTimeout time.Duration
 	// CandidateTimeout is how long the promotion of a candidate may take before the next term is
@@ -88,28 +88,28 @@
 // fields are empty.
 func Default() Config {
 	return Config{
-		Tick:             20 * time.Millisecond,
-		Heartbeat:        100 * time.Millisecond,
-		ProbeTimeout:     250 * time.Millisecond,
-		SuspectAfter:     500 * time.Millisecond,
-		MissedProbes:     4,
-		StartupGrace:     2 * time.Second,
-		ReportTTL:        500 * time.Millisecond,
-		AskEvery:         100 * time.Millisecond,
-		LeaseDuration:    6 * time.Second,
-		LeaseRenew:       2 * time.Second,
-		TakeoverDelay:    700 * time.Millisecond,
-		ReserveBlock:     4,
-		StoreTimeout:     500 * time.Millisecond,
-		StoreRetry:       500 * time.Millisecond,
-		OrderRetry:       150 * time.Millisecond,
-		FenceTimeout:     time.Second,
-		CandidateTimeout: 600 * time.Millisecond,
-		HandoverTimeout:  1500 * time.Millisecond,
-		BackoffMin:       200 * time.Millisecond,
-		BackoffMax:       3 * time.Second,
-		BlockedAfter:     time.Second,
-		RepairAfter:      1500 * time.Millisecond,
+		Tick:              20 * time.Millisecond,
+		Heartbeat:         100 * time.Millisecond,
+		ProbeTimeout:      250 * time.Millisecond,
+		SuspectAfter:      500 * time.Millisecond,
+		MissedProbes:      4,
+		StartupGrace:      2 * time.Second,
+		ReportTTL:         500 * time.Millisecond,
+		PeerQueryInterval: 100 * time.Millisecond,
+		LeaseDuration:     6 * time.Second,
+		LeaseRenew:        2 * time.Second,
+		TakeoverDelay:     700 * time.Millisecond,
+		ReserveBlock:      4,
+		StoreTimeout:      500 * time.Millisecond,
+		StoreRetry:        500 * time.Millisecond,
+		CommandRetry:      150 * time.Millisecond,
+		FenceTimeout:      time.Second,
+		CandidateTimeout:  600 * time.Millisecond,
+		HandoverTimeout:   1500 * time.Millisecond,
+		BackoffMin:        200 * time.Millisecond,
+		BackoffMax:        3 * time.Second,
+		BlockedAfter:      time.Second,
+		RepairAfter:       1500 * time.Millisecond,
 	}
 }
 
@@ -122,7 +122,7 @@
 	c.ProbeTimeout = scale(c.ProbeTimeout)
 	c.SuspectAfter = scale(c.SuspectAfter)
 	c.ReportTTL = scale(c.ReportTTL)
-	c.AskEvery = scale(c.AskEvery)
+	c.PeerQueryInterval = scale(c.PeerQueryInterval)
 	c.Heartbeat = heartbeat
 	return c
 }
--- a/failover/event.go
+++ b/failover/event.go
@@ -115,19 +115,19 @@
 
 // HandoverRequested requests a planned change of primary away from Server, which is to be drained.
 // It is ignored if Server is not the primary.
-type Relieve struct {
+type HandoverRequested struct {
 	Server target.ID
 }
 
-func (Tick) event()            {}
-func (ProbeAnswered) event()   {}
-func (ProbeFailed) event()     {}
-func (PeerReport) event()      {}
-func (GroupLearned) event()    {}
-func (LeaseResult) event()     {}
-func (ReserveResult) event()   {}
-func (FenceAnswered) event()   {}
-func (PromoteAnswered) event() {}
-func (FollowAnswered) event()  {}
-func (PublishResult) event()   {}
-func (Relieve) event()         {}
+func (Tick) event()              {}
+func (ProbeAnswered) event()     {}
+func (ProbeFailed) event()       {}
+func (PeerReport) event()        {}
+func (GroupLearned) event()      {}
+func (LeaseResult) event()       {}
+func (ReserveResult) event()     {}
+func (FenceAnswered) event()     {}
+func (PromoteAnswered) event()   {}
+func (FollowAnswered) event()    {}
+func (PublishResult) event()     {}
+func (HandoverRequested) event() {}
--- a/failover/machine.go
+++ b/failover/machine.go
@@ -103,7 +103,7 @@
 func (m *Machine) Group() view.Group { return m.group }
 
 // HoldsLease reports whether this VM held the group's lease at the last Step.
-func (m *Machine) Leads() bool { return m.lease.held(m.now) }
+func (m *Machine) HoldsLease() bool { return m.lease.held(m.now) }
 
 // Step processes one event at the time now and returns the actions to carry out. Times must be
 // above zero and must not go backwards. The caller owns the returned slice.
@@ -139,7 +139,7 @@
 		m.onPromoteAnswered(ev)
 	case FollowAnswered:
 		m.onFollowAnswered(ev)
-	case Relieve:
+	case HandoverRequested:
 		m.onRelieve(ev)
 	}
 }
@@ -200,7 +200,7 @@
 		return m.suspicionConfirmed(), "primary silent"
 	}
 	m.clearSuspicion()
-	if m.handoverFrom != "" && m.Leads() {
+	if m.handoverFrom != "" && m.HoldsLease() {
 		return true, "planned change of primary"
 	}
 	if m.fencedWithoutPrimary() {
@@ -228,8 +228,8 @@
 	if m.now.Before(m.peerQueryAt) {
 		return
 	}
-	m.peerQueryAt = m.now.Add(m.cfg.AskEvery)
-	m.emit(AskPeers{Server: m.group.Primary, Asked: m.now})
+	m.peerQueryAt = m.now.Add(m.cfg.PeerQueryInterval)
+	m.emit(QueryPeers{Server: m.group.Primary, Asked: m.now})
 }
 
 func (m *Machine) clearSuspicion() {
@@ -250,7 +250,7 @@
 	if m.agreedAt == 0 {
 		m.agreedAt = m.now
 	}
-	return m.Leads() || m.now.Sub(m.agreedAt) >= m.takeoverDelay
+	return m.HoldsLease() || m.now.Sub(m.agreedAt) >= m.takeoverDelay
 }
 
 // addr returns the address of a server of the group.
--- a/failover/machine_test.go
+++ b/failover/machine_test.go
@@ -56,7 +56,7 @@
 	reserve, ok := find[Reserve](actions)
 	require.True(t, ok)
 	m.Step(ms+2, ReserveResult{Term: reserve.Group.Reserved, Version: 2})
-	require.True(t, m.Leads())
+	require.True(t, m.HoldsLease())
 }
 
 // Failure guarded against: a late duplicate of an earlier answer from the store makes a used term
@@ -170,7 +170,7 @@
 		ReserveResult{Term: pendingTerm(m.store.pending), Version: m.store.version + 1},
 	}
 	if id == m.group.Primary {
-		return rapid.SampledFrom(append(events, ProbeFailed{Server: id, Asked: now - 1}, Relieve{Server: id})).Draw(t, "event")
+		return rapid.SampledFrom(append(events, ProbeFailed{Server: id, Asked: now - 1}, HandoverRequested{Server: id})).Draw(t, "event")
 	}
 	answered := ProbeAnswered{Server: id, Asked: now - 1, Status: st}
 	return rapid.SampledFrom(append(events, answered, answered, answered)).Draw(t, "event")
--- a/failover/repair.go
+++ b/failover/repair.go
@@ -18,7 +18,7 @@
 // lease or made the promotion. Other VMs act Config.TakeoverDelay later, which covers a promoter
 // that died before it finished. Two VMs may send the same command without harm: the command carries
 // the term, and a server refuses an outdated one.
-func (m *Machine) actsImmediately() bool { return m.Leads() || m.group.Term == m.terms.used }
+func (m *Machine) actsImmediately() bool { return m.HoldsLease() || m.group.Term == m.terms.used }
 
 // mayAct reports whether this VM may act now on a condition that has held since the given time.
 func (m *Machine) mayAct(since clock.Time) bool {
@@ -36,7 +36,7 @@
 		if srv.ID == m.group.Primary || !m.needsFollow(s) || m.now.Before(s.followAt) {
 			continue
 		}
-		s.followAt = m.now.Add(m.cfg.OrderRetry)
+		s.followAt = m.now.Add(m.cfg.CommandRetry)
 		m.emit(Follow{Server: srv.ID, Primary: m.group.Primary, Addr: addr, Term: m.group.Term})
 	}
 }
@@ -169,7 +169,7 @@
 	if m.primaryFencedSince != 0 && m.now.Sub(m.primaryFencedSince) >= m.cfg.BlockedAfter {
 		return m.mayAct(m.primaryFencedSince.Add(m.cfg.BlockedAfter))
 	}
-	return m.Leads() && m.serverFencedSince != 0 && m.now.Sub(m.serverFencedSince) >= m.cfg.RepairAfter
+	return m.HoldsLease() && m.serverFencedSince != 0 && m.now.Sub(m.serverFencedSince) >= m.cfg.RepairAfter
 }
 
 // adoptUnannounced adopts a promotion whose promoter died before it announced it. A server that
--- a/internal/experiment/capacity/roles.go
+++ b/internal/experiment/capacity/roles.go
@@ -31,9 +31,9 @@
 }
 
 // fleetView is a view of n groups of three, with fresh evidence on a board.
-func fleetView(n int) (*view.View, *routing.Board) {
+func fleetView(n int) (*view.View, *routing.Tracker) {
 	v := &view.View{Groups: make(map[string]*view.Group, n)}
-	b := routing.NewBoard()
+	b := routing.NewTracker()
 	for i := range n {
 		g := group(i)
 		v.Groups[g.Name] = g
@@ -54,7 +54,7 @@
 	return g
 }
 
-func observe(b *routing.Board, g *view.Group, k int, now clock.Time) {
+func observe(b *routing.Tracker, g *view.Group, k int, now clock.Time) {
 	st := status(g, k, now)
 	b.Observe(st.Server, st, now, now)
 	if k == 0 {
@@ -73,7 +73,7 @@
 // routeTime is a read's decision with n groups in the view.
 func routeTime(n int) float64 {
 	v, b := fleetView(n)
-	r := routing.NewRouter(b, routing.Evidence{}, 1)
+	r := routing.NewRouter(b, routing.EvidencePolicy{}, 1)
 	g := v.Groups["group-0000"]
 	req := routing.Request{Kind: browse, Zone: "b", Now: origin + 1}
 	return nanoseconds(func() { r.Route(v, g, req) })
--- a/internal/experiment/failover/cases.go
+++ b/internal/experiment/failover/cases.go
@@ -37,7 +37,7 @@
 	{"witness", ack.Witness{}, 0},
 	{"lease", lease, permission},
 	standardGate,
-	{"confirm+lease", ack.Mix{Confirmed: ack.Confirm{}, Rest: lease}, permission},
+	{"confirm+lease", ack.Mix{Confirmed: ack.Confirm{}, Other: lease}, permission},
 }
 
 // faultCase is a fault, with what is wrong before and what is mended after.
--- a/internal/experiment/reads/policies.go
+++ b/internal/experiment/reads/policies.go
@@ -14,7 +14,7 @@
 // Policies returns all that are compared, the product's last.
 func Policies() []routing.Policy {
 	return []routing.Policy{
-		alwaysPrimary{}, nearest{}, leastOutstanding{}, twoChoices{}, routing.Evidence{},
+		alwaysPrimary{}, nearest{}, leastOutstanding{}, twoChoices{}, routing.EvidencePolicy{},
 	}
 }
 
--- a/internal/experiment/reads/reads_test.go
+++ b/internal/experiment/reads/reads_test.go
@@ -14,7 +14,7 @@
 // let through, and with all in they find nothing.
 func TestJudgesFindWhatAGuardTakenOutLetsThrough(t *testing.T) {
 	run := func(sc Scenario, out ...guard.Name) Tally {
-		return Run(sc, Setup{Policy: routing.Evidence{}, Lag: Typical, Seed: 1, Guards: guard.Without(out...)})
+		return Run(sc, Setup{Policy: routing.EvidencePolicy{}, Lag: Typical, Seed: 1, Guards: guard.Without(out...)})
 	}
 	behind, cutOff := Scenarios()[2], Scenarios()[6]
 	for _, sc := range []Scenario{behind, cutOff} {
@@ -28,7 +28,7 @@
 }
 
 func TestSameSeedGivesTheSameRun(t *testing.T) {
-	setup := Setup{Policy: routing.Evidence{}, Lag: Typical, Seed: 3}
+	setup := Setup{Policy: routing.EvidencePolicy{}, Lag: Typical, Seed: 3}
 	a, b := Run(Scenarios()[3], setup), Run(Scenarios()[3], setup)
 	require.Equal(t, a.Reads, b.Reads)
 	require.Equal(t, a.ByReplica, b.ByReplica)
@@ -38,7 +38,7 @@
 // The users' aim: 97% of the reads that replicas may serve, at a usual lag of
 // 200 ms with one session in twenty having just written.
 func TestReplicasServeTheAimedShare(t *testing.T) {
-	calm := Run(Scenarios()[0], Setup{Policy: routing.Evidence{}, Lag: 200 * time.Millisecond, Seed: 1})
+	calm := Run(Scenarios()[0], Setup{Policy: routing.EvidencePolicy{}, Lag: 200 * time.Millisecond, Seed: 1})
 	require.Greater(t, calm.Share(), 0.97)
 	require.Zero(t, calm.Failed)
 }
--- a/internal/experiment/reads/run.go
+++ b/internal/experiment/reads/run.go
@@ -169,7 +169,7 @@
 	for _, ws := range waitShares {
 		series := report.Series{Name: waitName(ws)}
 		for _, lag := range lags {
-			t := RunSeeds(Scenarios()[0], Setup{Policy: routing.Evidence{WaitShare: ws}, Lag: lag}, seeds, parallel)
+			t := RunSeeds(Scenarios()[0], Setup{Policy: routing.EvidencePolicy{WaitShare: ws}, Lag: lag}, seeds, parallel)
 			table.Add(series.Name, lag, report.Percent(t.Share()), quantile(t.ReadLatency, 50),
 				quantile(t.ReadLatency, 95), quantile(t.ReadLatency, 99), report.Percent(t.PrimaryBusy))
 			series.X = append(series.X, float64(lag/time.Millisecond))
--- a/internal/experiment/reads/world.go
+++ b/internal/experiment/reads/world.go
@@ -75,7 +75,7 @@
 	zone string
 	// group is the group as the proxy knows it.
 	group  *view.Group
-	board  *routing.Board
+	board  *routing.Tracker
 	router *routing.Router
 }
 
@@ -117,7 +117,7 @@
 	}
 	w.view = &view.View{}
 	for i := range proxies {
-		b := routing.NewBoard()
+		b := routing.NewTracker()
 		b.Guards = setup.Guards
 		w.proxies = append(w.proxies, &proxy{
 			zone: zone(i), board: b, group: w.group,
--- a/proxy/harness_test.go
+++ b/proxy/harness_test.go
@@ -164,13 +164,13 @@
 }
 
 func startProxy(t testing.TB, c *cluster, change ...func(*Config)) *rig {
-	r := &rig{c: c, board: &countingBoard{Board: routing.NewBoard()}, trip: &trip{}}
+	r := &rig{c: c, board: &countingBoard{Tracker: routing.NewTracker()}, trip: &trip{}}
 	verifier, err := NewVerifier(password, "0123456789abcdef", minIterations)
 	require.NoError(t, err)
 	creds, err := ParseVerifier(verifier)
 	require.NoError(t, err)
 	cfg := Config{
-		View: c.views, Router: routing.NewRouter(r.board.Board, routing.Evidence{}, 1), Board: r.board, Pool: r.pool,
+		View: c.views, Router: routing.NewRouter(r.board.Tracker, routing.EvidencePolicy{}, 1), Board: r.board, Pool: r.pool,
 		Limiter: limiter.New(limiter.Config{Queue: admission.Config{}, Clock: c.clk}),
 		Tokens:  c.keys, Users: StaticUsers{"app": creds, "other": creds}, Ack: c.gate, Clock: c.clk,
 		Log: zap.NewNop(), Recorder: r, Zone: "a", Seed: 1,
@@ -216,12 +216,12 @@
 
 // countingBoard counts the exchanges with targets that have ended.
 type countingBoard struct {
-	*routing.Board
+	*routing.Tracker
 	ends atomic.Int64
 }
 
 func (b *countingBoard) End(id target.ID, now clock.Time, latency time.Duration, failed bool) {
-	b.Board.End(id, now, latency, failed)
+	b.Tracker.End(id, now, latency, failed)
 	b.ends.Add(1)
 }
 
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -54,11 +54,11 @@
 type Candidate struct {
 	Server *view.Server
 	// ServiceTime is the expected time of one request.
-	Service time.Duration
+	ServiceTime time.Duration
 	// Outstanding is the number of this proxy's unanswered requests at the server.
 	Outstanding int
 	// FailureRate is the recent fraction of failures, from 0 to 1.
-	Failing float64
+	FailureRate float64
 	// Local reports whether the server is in the proxy's availability zone.
 	Local    bool
 	evidence *evidence
--- a/routing/policy_evidence.go
+++ b/routing/policy_evidence.go
@@ -33,13 +33,13 @@
 )
 
 // EvidencePolicy is the policy for production; see the package comment.
-type Evidence struct {
+type EvidencePolicy struct {
 	// WaitShare limits the wait for a replica to the deadline divided by WaitShare. 0 means the
 	// default, and a negative value disables the wait.
 	WaitShare int
 }
 
-func (p Evidence) waitTimeout(deadline time.Duration) time.Duration {
+func (p EvidencePolicy) waitTimeout(deadline time.Duration) time.Duration {
 	switch {
 	case p.WaitShare < 0:
 		return 0
@@ -51,10 +51,10 @@
 }
 
 // Name implements Policy.
-func (Evidence) Name() string { return "evidence" }
+func (EvidencePolicy) Name() string { return "evidence" }
 
 // Choose implements Policy.
-func (p Evidence) Choose(c Candidates, rnd uint64) Decision {
+func (p EvidencePolicy) Choose(c Candidates, rnd uint64) Decision {
 	if c.N == 0 {
 		return p.chooseWithoutReplica(c)
 	}
@@ -89,7 +89,7 @@
 // Failure guarded against: when all replicas fall behind, their whole load moves to the primary and
 // starves the writes, which time out while the primary serves reads. Only primaryLimit requests of
 // this proxy may be at the primary at a time; further reads wait within their deadlines.
-func (p Evidence) chooseWithoutReplica(c Candidates) Decision {
+func (p EvidencePolicy) chooseWithoutReplica(c Candidates) Decision {
 	limit := p.waitTimeout(c.Deadline)
 	if c.CatchUpKnown && c.CatchUp > 0 && c.Waited+c.CatchUp <= limit {
 		return Decision{Wait: c.CatchUp, Reason: ReasonAwaitReplica}
@@ -118,11 +118,11 @@
 func bestService(c *Candidates) time.Duration {
 	best := time.Duration(0)
 	consider := func(x *Candidate) {
-		if x.Server == nil || x.Service <= 0 || x.Failing >= degradedFailureRate {
+		if x.Server == nil || x.ServiceTime <= 0 || x.FailureRate >= degradedFailureRate {
 			return
 		}
-		if best == 0 || x.Service < best {
-			best = x.Service
+		if best == 0 || x.ServiceTime < best {
+			best = x.ServiceTime
 		}
 	}
 	for i := range c.N {
@@ -133,7 +133,7 @@
 }
 
 func isDegraded(x *Candidate, best time.Duration) bool {
-	return x.Failing >= degradedFailureRate || x.Service > degradedRatio*best+degradedMargin
+	return x.FailureRate >= degradedFailureRate || x.ServiceTime > degradedRatio*best+degradedMargin
 }
 
 // trickleTo returns the index of a replica that has answered nothing recently, because it is
@@ -184,8 +184,8 @@
 // cost returns the expected time until the request is answered, weighted by the server's failure
 // rate and zone.
 func cost(x *Candidate) float64 {
-	t := float64(max(x.Service, minService)) * float64(x.Outstanding+1)
-	t *= 1 + failingFactor*x.Failing
+	t := float64(max(x.ServiceTime, minService)) * float64(x.Outstanding+1)
+	t *= 1 + failingFactor*x.FailureRate
 	if !x.Local {
 		t *= remoteFactor
 	}
--- a/routing/router.go
+++ b/routing/router.go
@@ -54,7 +54,7 @@
 
 // Router chooses servers. It is safe for concurrent use and allocates nothing.
 type Router struct {
-	tracker *Board
+	tracker *Tracker
 	policy  Policy
 	seed    uint64
 	count   atomic.Uint64
@@ -62,7 +62,7 @@
 
 // NewRouter returns a Router that uses the evidence in t. The same seed and the same sequence of
 // calls give the same decisions.
-func NewRouter(t *Board, policy Policy, seed uint64) *Router {
+func NewRouter(t *Tracker, policy Policy, seed uint64) *Router {
 	return &Router{tracker: t, policy: policy, seed: seed}
 }
 
@@ -89,7 +89,7 @@
 // primaryOnly routes a request that only the primary may run. The floor still applies: in an
 // outdated view the primary may be superseded and cannot cover a session that has seen a later
 // term, so such a session waits until the view is updated.
-func (t *Board) primaryOnly(v *view.View, g *view.Group, req Request, why Reason) Decision {
+func (t *Tracker) primaryOnly(v *view.View, g *view.Group, req Request, why Reason) Decision {
 	s := g.Server(g.Primary)
 	if s == nil || v.Draining[s.ID] || !t.primaryCovers(g, req.Floor) {
 		return Decision{Wait: retryInterval, Reason: ReasonNoPrimary}
@@ -99,12 +99,12 @@
 
 // primaryCovers reports whether the primary of the group's term covers floor. The primary has all
 // retained writes of its own term and of earlier ones.
-func (t *Board) primaryCovers(g *view.Group, floor timeline.Position) bool {
+func (t *Tracker) primaryCovers(g *view.Group, floor timeline.Position) bool {
 	return floor.Term <= g.Term || t.Guards.Out(GuardFloor)
 }
 
 // candidates collects the servers that may serve the read.
-func (t *Board) candidates(v *view.View, g *view.Group, req Request) Candidates {
+func (t *Tracker) candidates(v *view.View, g *view.Group, req Request) Candidates {
 	c := Candidates{
 		Now:      req.Now,
 		Waited:   req.waited(),
@@ -133,7 +133,7 @@
 
 // addReplica adds the replica to c if it qualifies. If it lacks only the floor, addReplica records
 // when the replica is expected to reach it.
-func (t *Board) addReplica(c *Candidates, g *view.Group, s *view.Server, e *evidence, all samples, req Request) {
+func (t *Tracker) addReplica(c *Candidates, g *view.Group, s *view.Server, e *evidence, all samples, req Request) {
 	rep := e.report.Load()
 	if rep == nil || !t.replicaOfHistory(g, rep.status) {
 		return
@@ -160,7 +160,7 @@
 // Failure guarded against: a superseded primary, or a replica that followed it, serves entries that
 // a promotion has discarded, and a read returns a write that is later missing. Such a server claims
 // to lead without being the view's primary, or its position is beyond the start of a later term.
-func (t *Board) replicaOfHistory(g *view.Group, st target.Status) bool {
+func (t *Tracker) replicaOfHistory(g *view.Group, st target.Status) bool {
 	if t.Guards.Out(GuardHistory) {
 		return true
 	}
@@ -170,7 +170,7 @@
 // primaryFresh reports whether the primary may serve a bounded-staleness read: it covers the floor,
 // and a replica witnessed within MaxAge that no later term had a majority. Without a witness, the
 // primary may be partitioned and its data older than it appears.
-func (t *Board) primaryFresh(g *view.Group, req Request) bool {
+func (t *Tracker) primaryFresh(g *view.Group, req Request) bool {
 	if !t.primaryCovers(g, req.Floor) {
 		return false
 	}
@@ -203,8 +203,8 @@
 	if e == nil {
 		return c
 	}
-	c.Service = e.service(req.Now)
+	c.ServiceTime = e.service(req.Now)
 	c.Outstanding = int(max(e.outstanding.Load(), 0))
-	c.Failing = e.failureRate()
+	c.FailureRate = e.failureRate()
 	return c
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -25,7 +25,7 @@
 // fixture is one group of three servers in term 2, which began at LSN 100: a is the primary, b and
 // c are replicas.
 type fixture struct {
-	tracker *Board
+	tracker *Tracker
 	router  *Router
 	view    *view.View
 	group   *view.Group
@@ -37,10 +37,10 @@
 		History: timeline.History{{Term: 1}, {Term: 2, LSN: 100}},
 		Servers: []view.Server{{ID: "a", Zone: "z1"}, {ID: "b", Zone: "z1"}, {ID: "c", Zone: "z2"}},
 	}
-	t := NewBoard()
+	t := NewTracker()
 	return &fixture{
 		tracker: t,
-		router:  NewRouter(t, Evidence{}, 1),
+		router:  NewRouter(t, EvidencePolicy{}, 1),
 		view:    &view.View{Groups: map[string]*view.Group{"g": g}},
 		group:   g,
 	}
--- a/routing/tracker.go
+++ b/routing/tracker.go
@@ -16,7 +16,7 @@
 
 // Tracker records the evidence on all servers that this proxy knows. It is safe for concurrent use.
 // Readers take no lock; a mutex serializes the writers of the maps.
-type Board struct {
+type Tracker struct {
 	// Guards disables guards, in tests only. It must be set before the first use.
 	Guards guard.Set
 
@@ -31,19 +31,19 @@
 }
 
 // NewTracker returns an empty Tracker.
-func NewBoard() *Board {
-	t := &Board{}
+func NewTracker() *Tracker {
+	t := &Tracker{}
 	t.servers.Store(&map[target.ID]*evidence{})
 	t.groups.Store(&map[string]*groupSamples{})
 	return t
 }
 
-func (t *Board) find(id target.ID) *evidence {
+func (t *Tracker) find(id target.ID) *evidence {
 	return (*t.servers.Load())[id]
 }
 
 // ensure returns the server's evidence, adding the server if it is new.
-func (t *Board) ensure(id target.ID) *evidence {
+func (t *Tracker) ensure(id target.ID) *evidence {
 	if e := t.find(id); e != nil {
 		return e
 	}
@@ -62,14 +62,14 @@
 // Observe records a server's status report. asked is the time at which the status query was sent,
 // and answered is the time at which the answer arrived. A report whose query was sent before that
 // of the recorded report changes nothing.
-func (t *Board) Observe(id target.ID, st target.Status, asked, answered clock.Time) {
+func (t *Tracker) Observe(id target.ID, st target.Status, asked, answered clock.Time) {
 	_ = answered // the evidence is as of asked
 	t.ensure(id).observe(st, asked)
 }
 
 // ObservePrimary records that the group's primary had committed up to pos when it was queried at
 // asked.
-func (t *Board) ObservePrimary(group string, pos timeline.Position, asked clock.Time) {
+func (t *Tracker) ObservePrimary(group string, pos timeline.Position, asked clock.Time) {
 	g := t.ensureGroup(group)
 	for {
 		old := g.list.Load()
@@ -80,7 +80,7 @@
 	}
 }
 
-func (t *Board) ensureGroup(name string) *groupSamples {
+func (t *Tracker) ensureGroup(name string) *groupSamples {
 	if g := (*t.groups.Load())[name]; g != nil {
 		return g
 	}
@@ -98,7 +98,7 @@
 }
 
 // samplesOf returns the group's samples, which must not be modified.
-func (t *Board) samplesOf(group string) samples {
+func (t *Tracker) samplesOf(group string) samples {
 	g := (*t.groups.Load())[group]
 	if g == nil {
 		return nil
@@ -107,19 +107,19 @@
 }
 
 // Begin records that a request was sent to the server.
-func (t *Board) Begin(id target.ID, now clock.Time) {
+func (t *Tracker) Begin(id target.ID, now clock.Time) {
 	t.ensure(id).begin(now)
 }
 
 // End records the end of a request that Begin recorded. failed reports a failure of the server: a
 // lost connection, a timeout or a refusal to serve, but not an error in the caller's statement.
-func (t *Board) End(id target.ID, now clock.Time, latency time.Duration, failed bool) {
+func (t *Tracker) End(id target.ID, now clock.Time, latency time.Duration, failed bool) {
 	t.ensure(id).end(now, latency, failed)
 }
 
 // Retain removes the servers and groups that are not in the view, so that the Tracker does not grow
 // with every server that the fleet has ever had.
-func (t *Board) Forget(v *view.View) {
+func (t *Tracker) Retain(v *view.View) {
 	known := make(map[target.ID]bool)
 	for _, g := range v.Groups {
 		for i := range g.Servers {
@@ -138,12 +138,12 @@
 
 // currentAsOf returns the latest time as of which a server with the given report was current; see
 // the package comment.
-func (t *Board) currentAsOf(g *view.Group, rep *report) (clock.Time, bool) {
+func (t *Tracker) currentAsOf(g *view.Group, rep *report) (clock.Time, bool) {
 	return t.latestCovered(g, t.samplesOf(g.Name), rep.status.Position())
 }
 
 // latestCovered returns the time of the latest witnessed sample that the position have covers.
-func (t *Board) latestCovered(g *view.Group, all samples, have timeline.Position) (clock.Time, bool) {
+func (t *Tracker) latestCovered(g *view.Group, all samples, have timeline.Position) (clock.Time, bool) {
 	var term timeline.Term
 	var until clock.Time
 	var proven bool
@@ -166,7 +166,7 @@
 // provenUntil returns the latest time at which enough replicas witnessed that they had promised no
 // term later than the given one to form a majority together with the primary: one replica in a
 // group of three.
-func (t *Board) provenUntil(g *view.Group, term timeline.Term) (clock.Time, bool) {
+func (t *Tracker) provenUntil(g *view.Group, term timeline.Term) (clock.Time, bool) {
 	needed := len(g.Servers) / 2
 	if needed == 0 || t.Guards.Out(GuardWitness) {
 		return math.MaxInt64, true
@@ -197,7 +197,7 @@
 
 // witnessed returns the latest time at which the server reported, as a replica, that it had
 // promised no term above the given one.
-func (t *Board) witnessed(id target.ID, term timeline.Term) (clock.Time, bool) {
+func (t *Tracker) witnessed(id target.ID, term timeline.Term) (clock.Time, bool) {
 	e := t.find(id)
 	if e == nil {
 		return 0, false
@@ -210,7 +210,7 @@
 }
 
 // Age returns the maximum age of the server's data at now, and whether that age is known.
-func (t *Board) Age(g *view.Group, id target.ID, now clock.Time) (time.Duration, bool) {
+func (t *Tracker) Age(g *view.Group, id target.ID, now clock.Time) (time.Duration, bool) {
 	e := t.find(id)
 	if e == nil {
 		return 0, false
--- a/scenario/acknowledge.go
+++ b/scenario/acknowledge.go
@@ -36,19 +36,19 @@
 }
 
 // decide asks the gate and acts on its verdict.
-func (a *attempt) decide() ack.Verdict {
+func (a *attempt) decide() ack.Result {
 	v := a.p.v
 	a.proof.SetGroup(v.group)
 	a.proof.Grant(v.permission)
 	d := a.p.gate.Decide(a.write, a.proof, v.w.now)
-	switch d.Verdict {
+	switch d.Result {
 	case ack.Ack:
 		a.c.gated = v.w.now.Sub(a.write.Committed)
 		a.passThen(core.StepAcknowledged, func() { a.replied(0) })
 	case ack.Unknown:
 		a.fail(core.FailureUnacknowledged)
 	}
-	return d.Verdict
+	return d.Result
 }
 
 func (a *attempt) askReplicas() {
--- a/scenario/faults_test.go
+++ b/scenario/faults_test.go
@@ -78,7 +78,7 @@
 	w.at(w.now, func() {
 		for i, v := range w.vms {
 			if v.up && !v.paused {
-				v.step(failover.Relieve{Server: target.ID([]string{"s1", "s2", "s3"}[i])})
+				v.step(failover.HandoverRequested{Server: target.ID([]string{"s1", "s2", "s3"}[i])})
 			}
 		}
 	})
--- a/scenario/proxy.go
+++ b/scenario/proxy.go
@@ -47,7 +47,7 @@
 	guards := v.w.guards
 	gate := v.w.gate
 	if gate == nil {
-		gate = ack.Mix{Confirmed: ack.Confirm{Guards: guards}, Rest: ack.Witness{Guards: guards}}
+		gate = ack.Mix{Confirmed: ack.Confirm{Guards: guards}, Other: ack.Witness{Guards: guards}}
 	}
 	return &proxy{
 		v:        v,
--- a/scenario/script.go
+++ b/scenario/script.go
@@ -225,7 +225,7 @@
 func (w *World) Relieve(id target.ID) {
 	for _, v := range w.vms {
 		if v.up {
-			v.step(failover.Relieve{Server: id})
+			v.step(failover.HandoverRequested{Server: id})
 		}
 	}
 }
--- a/scenario/vm.go
+++ b/scenario/vm.go
@@ -24,7 +24,7 @@
 	machine *failover.Machine
 	group   *view.Group // nil until it is learned
 	reports map[target.ID]evidence
-	board   *routing.Board
+	board   *routing.Tracker
 	router  *routing.Router
 	proxy   *proxy
 	passed  map[string]bool // steps of this start
@@ -84,8 +84,8 @@
 	v.machine = failover.New(v.cfg, groupName, rand.New(rand.NewPCG(seed, seed)))
 	v.group = nil
 	v.reports = make(map[target.ID]evidence)
-	v.board = routing.NewBoard()
-	v.router = routing.NewRouter(v.board, routing.Evidence{}, seed)
+	v.board = routing.NewTracker()
+	v.router = routing.NewRouter(v.board, routing.EvidencePolicy{}, seed)
 	v.proxy = newProxy(v)
 	v.passed = make(map[string]bool)
 	v.configuration = publication.Version{}
@@ -143,7 +143,7 @@
 	switch a := a.(type) {
 	case failover.Probe:
 		v.probe(a)
-	case failover.AskPeers:
+	case failover.QueryPeers:
 		v.askPeers(a)
 	case failover.ReadLease:
 		v.readLease(a.Asked)
@@ -249,7 +249,7 @@
 }
 
 // askPeers asks every other VM; each answers from its own evidence.
-func (v *vm) askPeers(a failover.AskPeers) {
+func (v *vm) askPeers(a failover.QueryPeers) {
 	for _, peer := range v.w.vms {
 		if peer == v {
 			continue
