--- a/relay/check.go
+++ b/relay/check.go
@@ -7,55 +7,55 @@
 	"github.com/pkg/errors"
 )
 
-// checkAfter is how long a call may go without an answer, while the gateway answers no
-// other either, before it is looked whether the gateway can be reached at all: less than
-// the shortest of the objectives.
+// checkAfter is how long a call may go without a reply, while the gateway replies to no other call
+// either, before the caller checks that the gateway is reachable. It is less than the shortest
+// latency objective.
 const checkAfter = 100 * time.Millisecond
 
 const (
-	// checkTimeout bounds that look, so that a read which is given up may still be in time.
+	// checkTimeout bounds the check, so that a read that is then sent elsewhere may still meet its
+	// deadline.
 	checkTimeout = 100 * time.Millisecond
-	// stoodStill is how much later than its timeout a look may end for its outcome to
-	// count: this VM itself had no processor else.
-	stoodStill = 10 * time.Millisecond
+	// maxOverrun is how much later than its timeout a check may end for its result to count. A
+	// longer overrun shows that this VM itself got no processor time.
+	maxOverrun = 10 * time.Millisecond
 )
 
-// errGone says that a gateway could not be reached while it had a call.
-var errGone = errors.New("the gateway cannot be reached any more")
+// errGatewayLost reports that a gateway became unreachable while a call to it was in flight.
+var errGatewayLost = errors.New("the gateway cannot be reached any more")
 
-// guard gives a call up once its gateway cannot be reached any more. The result ends the
-// guard.
+// cancelIfLost cancels a call once its gateway is unreachable. The returned function stops the
+// checks.
 //
-// Failure guarded against: a gateway dies, or is cut off, with a read under way over a
-// connection that was open. The read waits until its consumer's time is over, though
-// another gateway would serve it: nothing on the connection tells that nobody is there.
-// A call that may have written is not guarded: it is in doubt, and its answer may come.
-func (p *peers) guard(at *peer, give context.CancelCauseFunc) (end func()) {
+// Failure guarded against: a gateway dies, or is partitioned, while a read is in flight over an
+// open connection. Nothing on the connection shows the failure, so the read waits until the
+// consumer's deadline though another gateway would serve it. A call that may have written is not
+// canceled: it is in doubt, and its reply may still arrive.
+func (p *peers) cancelIfLost(at *peer, abort context.CancelCauseFunc) (end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	begun := p.clk.Now()
-	var look func()
-	look = func() {
+	var probe func()
+	probe = func() {
 		p.mu.Lock()
-		quiet := p.clk.Now().Sub(max(at.answered, begun))
+		idle := p.clk.Now().Sub(max(at.answered, begun))
 		p.mu.Unlock()
-		if quiet >= checkAfter && !p.reaches(ctx, at) && ctx.Err() == nil {
-			p.heardSilent(at.addr, p.clk.Now())
-			give(errGone)
+		if idle >= checkAfter && !p.reaches(ctx, at) && ctx.Err() == nil {
+			p.recordUnreachable(at.addr, p.clk.Now())
+			abort(errGatewayLost)
 			return
 		}
 		if ctx.Err() == nil {
-			time.AfterFunc(checkAfter, look)
+			time.AfterFunc(checkAfter, probe)
 		}
 	}
-	first := time.AfterFunc(checkAfter, look)
+	first := time.AfterFunc(checkAfter, probe)
 	return func() {
 		cancel()
 		first.Stop()
 	}
 }
 
-// reaches reports whether a connection to a peer opens. Those who ask at once share one
-// try.
+// reaches reports whether a connection to a peer opens. Concurrent callers share one check.
 func (p *peers) reaches(ctx context.Context, at *peer) bool {
 	p.mu.Lock()
 	c := at.check
@@ -73,8 +73,7 @@
 	}
 }
 
-// check is a look at whether a peer can be reached. Its result is set before done is
-// closed.
+// check tests whether a peer is reachable. Its result is set before done is closed.
 type check struct {
 	done    chan struct{}
 	reached bool
@@ -88,18 +87,18 @@
 	close(c.done)
 }
 
-// opens reports whether a connection to an address opens in time.
+// opens reports whether a connection to an address opens within the timeout.
 //
-// Failure guarded against: a VM that is overloaded gets no processor while a connection
-// opens, takes a gateway that is well for silent, and tells others so. They go past it
-// to the target, whose slots new connections take, and which is the more overloaded.
+// Failure guarded against: an overloaded VM gets no processor time while a connection opens,
+// considers a healthy gateway unreachable, and reports that to other VMs. They bypass the gateway
+// and connect to the target, where the new connections take slots and add to the overload.
 func (p *peers) opens(addr string, timeout time.Duration) bool {
 	begun := p.clk.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	conn, err := p.dial(ctx, "tcp", addr)
 	if err != nil {
-		return p.clk.Now().Sub(begun) > timeout+stoodStill
+		return p.clk.Now().Sub(begun) > timeout+maxOverrun
 	}
 	_ = conn.Close()
 	return true
--- /dev/null
+++ b/relay/control.go
@@ -0,0 +1,83 @@
+package relay
+
+import (
+	"context"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"endivemoor.example/endivemoor/catalog"
+	"endivemoor.example/endivemoor/lane"
+	"endivemoor.example/endivemoor/relay/relaypb"
+	"endivemoor.example/endivemoor/statement"
+	"endivemoor.example/endivemoor/target"
+)
+
+// ControlClient sends the fleet's own status queries and commands to targets. Where this VM has a
+// gateway to a target, status queries go through it, so that the queries of each VM do not take
+// connections that the gateways need for statements. Commands go directly to the target, and
+// through a gateway if the target accepts no further connection.
+type Asker struct{ *Router }
+
+// Control implements groups.ControlClient.
+//
+// Failure guarded against: a target is saturated, so that the VMs consider a change of primary,
+// and each VM of the fleet opens a connection to each target of the service for its status query.
+// The connections take slots and saturate the target further.
+func (a Asker) Control(ctx context.Context, id target.ID, cmd lane.Ask, timeout time.Duration) ([]string, error) {
+	if cmd == lane.AskStatus {
+		rows, _, err := a.Recent(ctx, id, 0, timeout)
+		return rows, err
+	}
+	rows, err := a.cfg.Asker.Control(ctx, id, cmd, timeout)
+	var u *lane.UnavailableError
+	if !errors.As(err, &u) || u.Code != statement.TooManyConnections {
+		return rows, err
+	}
+	if rows, _, relayed := a.relay(ctx, id, cmd, 0, timeout); !isGateway(relayed) {
+		return rows, relayed
+	}
+	return nil, err
+}
+
+// Recent implements groups.ControlClient.
+func (a Asker) Recent(ctx context.Context, id target.ID, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
+	if rows, age, err := a.relay(ctx, id, lane.AskStatus, maxAge, timeout); !isGateway(err) {
+		return rows, age, err
+	}
+	return a.cfg.Statuses.Recent(ctx, id, maxAge, timeout)
+}
+
+// relay sends a command through the gateways to a target, one after another, until one of them
+// reports a result of the target. The error is errUnreached if none does.
+func (a Asker) relay(ctx context.Context, id target.ID, cmd lane.Ask, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
+	for _, vm := range a.route(id, "") {
+		if rows, age, err := a.relayThrough(ctx, vm, id, cmd, maxAge, timeout); !isGateway(err) {
+			return rows, age, err
+		}
+	}
+	return nil, 0, errUnreached
+}
+
+// relayThrough sends a command through one gateway. A missing reply counts as the gateway's
+// failure and not the target's, so that the command is sent elsewhere: status queries and commands
+// are safe to repeat.
+func (a Asker) relayThrough(ctx context.Context, vm catalog.VM, id target.ID, cmd lane.Ask, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
+	kind, term := cmd.Encode()
+	var out *relaypb.AskReply
+	in := &relaypb.AskRequest{Target: string(id), TimeoutUs: micros(timeout), Kind: kind, Term: term, MaxAgeUs: uint64(micros(maxAge))}
+	err := a.peers.call(ctx, vm, timeout+callSlack, false, func(ctx context.Context, to relaypb.Relay) (err error) {
+		out, err = to.Ask(ctx, in)
+		return err
+	})
+	switch {
+	case err != nil:
+		return nil, 0, errUnreached
+	case out.GetFailure() != nil:
+		return nil, 0, failure(out.GetFailure(), id)
+	case out.GetRefusedCode() != 0:
+		return nil, 0, &lane.RefusedError{Target: id, Code: statement.Code(out.GetRefusedCode())}
+	default:
+		return out.GetRows(), duration(int64(out.GetAgeUs())), nil
+	}
+}
--- a/relay/ask_test.go
+++ b/relay/control_test.go
@@ -17,13 +17,13 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// A VM weighs a change of primary and asks a target how it stands. It has a gateway to
-// that target; a connection of its own would take one of the slots that its readers wait
-// for, as would that of every other VM.
-func TestEveryQuestionGoesThroughTheGateway(t *testing.T) {
-	there, here := &talker{}, &talker{}
+// Failure guarded against: a VM that considers a change of primary has a gateway to a target, but
+// opens a connection of its own for the status query. The connections of all VMs take slots that
+// readers wait for.
+func TestStatusQueriesGoThroughTheGateway(t *testing.T) {
+	atGateway, own := &slowTarget{}, &slowTarget{}
 	clk := monotonic.New()
-	s := NewServer(ServerConfig{Statuses: NewStatuses(there, clk), Asker: there, Clock: clk, Groups: registryOn(clk), Serves: func(target.ID) bool { return true }})
+	s := NewServer(ServerConfig{Statuses: NewStatuses(atGateway, clk), Asker: atGateway, Clock: clk, Groups: registryOn(clk), Serves: func(target.ID) bool { return true }})
 	_, handler := s.Handler()
 	server := httptest.NewServer(handler)
 	defer server.Close()
@@ -33,12 +33,12 @@
 		Targets: map[target.ID]*catalog.Target{"t": {ID: "t", Service: "s", Zone: "a"}},
 		VMs:     []catalog.VM{{ID: "gateway", Zone: "a", Peer: server.Listener.Addr().String()}, {ID: "me", Zone: "b"}, {ID: "other", Zone: "b"}},
 	}
-	r := NewRouter(RouterConfig{Asker: here, Statuses: NewStatuses(here, clk), Groups: registryOn(clk), Clock: clk, Log: zap.NewNop(), Dial: (&net.Dialer{}).DialContext})
+	r := NewRouter(RouterConfig{Asker: own, Statuses: NewStatuses(own, clk), Groups: registryOn(clk), Clock: clk, Log: zap.NewNop(), Dial: (&net.Dialer{}).DialContext})
 	r.Update(gateways.NewPlan("me", c), c)
 	_, _, err := Asker{r}.Recent(context.Background(), "t", 0, time.Second)
 	require.NoError(t, err)
 	_, err = Asker{r}.Control(context.Background(), "t", lane.AskStatus, time.Second)
 	require.NoError(t, err)
-	require.Equal(t, 2, there.count())
-	require.Zero(t, here.count())
+	require.Equal(t, 2, atGateway.count())
+	require.Zero(t, own.count())
 }
--- a/relay/convert.go
+++ b/relay/convert.go
@@ -58,7 +58,7 @@
 	return timeline.Position{Term: timeline.Term(in.GetTerm()), LSN: timeline.LSN(in.GetNumber())}
 }
 
-// jobOf encodes a statement; the claim and the transaction are the caller's.
+// jobOf encodes a statement; the caller adds the claim and the transaction.
 func jobOf(j *dispatch.Job, left time.Duration) *relaypb.RunRequest {
 	out := &relaypb.RunRequest{
 		Values: valuesOf(j.Values), Id: j.Statement.ID, Text: j.Statement.Text, Arguments: j.Statement.Arguments,
@@ -89,8 +89,8 @@
 	}
 }
 
-// answer decodes an answer. A code or state that this version does not know is
-// one that promises nothing.
+// answer decodes an answer. A code or state that this version does not know decodes to one that
+// does not imply success.
 func answer(in *relaypb.Answer) *statement.Answer {
 	out := &statement.Answer{
 		Rows: in.GetRows(), Code: statement.Other, Signature: in.GetSignature(), Text: in.GetText(),
@@ -120,7 +120,7 @@
 	return out
 }
 
-// failure decodes a gateway's account of a failure.
+// failure decodes the failure that a gateway reports.
 func failure(in *relaypb.Failure, id target.ID) error {
 	cause := errors.New(in.GetText())
 	switch in.GetKind() {
--- a/relay/convert_test.go
+++ b/relay/convert_test.go
@@ -15,7 +15,7 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-func TestStatementSurvivesTheWay(t *testing.T) {
+func TestStatementRoundTrip(t *testing.T) {
 	j := &dispatch.Job{
 		Service: "s", Statement: &statement.Statement{ID: "r1", Text: "EXEC p a 1", Arguments: "a 1"},
 		Prepared: &lane.Prepared{Shape: "q", Writes: true}, Values: map[string]string{"lang": "ga"},
@@ -25,36 +25,36 @@
 	in.Claim = claimOf("s", "t", dispatch.Claim{Order: lane.Order{Due: 5000, Priority: 2}, Queue: time.Second}, 1000)
 	require.Equal(t, j, job(in))
 	c := claim(in.GetClaim(), 7000)
-	require.Equal(t, lane.Order{Due: 11000, Priority: 2}, c.Order, "due as long from now as it was there")
+	require.Equal(t, lane.Order{Due: 11000, Priority: 2}, c.Order, "due after the same time left as at the sender")
 }
 
-// What is known of a failure decides whether a statement may be sent again. A
-// gateway's word must not turn a write that may have run into one that has not.
-func TestFailuresSurviveTheWay(t *testing.T) {
-	lost := failure(failureOf(&dispatch.LostError{Cause: errors.New("silence")}), "t")
+// Failure guarded against: a failure changes its kind in transit, so that a write that may have run
+// counts as one that has not, and is sent again.
+func TestFailureRoundTrip(t *testing.T) {
+	lost := failure(failureOf(&dispatch.LostError{Cause: errors.New("no answer")}), "t")
 	var l *dispatch.LostError
 	require.ErrorAs(t, lost, &l)
-	require.Empty(t, l.Gateway, "the target is to blame")
-	require.False(t, mayPass(lost))
+	require.Empty(t, l.Gateway, "the target did not answer, not a gateway")
+	require.False(t, mayTryNext(lost))
 
 	full := failure(failureOf(&lane.UnavailableError{Target: "t", ComeBack: 40 * time.Millisecond, Cause: errors.New("busy")}), "t")
 	var u *lane.UnavailableError
 	require.ErrorAs(t, full, &u)
 	require.Equal(t, 40*time.Millisecond, u.ComeBack)
-	require.False(t, mayPass(full), "another gateway has no more time")
+	require.False(t, mayTryNext(full), "another gateway has no more time left")
 
 	away := failureOf(&lane.UnavailableError{Target: "t", Cause: syscall.ECONNREFUSED})
 	require.True(t, away.GetRefused())
-	require.True(t, mayPass(failure(away, "t")), "another gateway may reach it")
+	require.True(t, mayTryNext(failure(away, "t")), "another gateway may reach it")
 
-	require.True(t, mayPass(failure(declined, "t")))
+	require.True(t, mayTryNext(failure(declined, "t")))
 	unknown := failure(&relaypb.Failure{Kind: relaypb.Failure_UNKNOWN}, "t")
-	require.False(t, mayPass(unknown), "a kind that this version does not know promises nothing")
+	require.False(t, mayTryNext(unknown), "an unknown kind does not show that the statement was not sent")
 }
 
-// A gateway of a later version answers with a code and a state that this one does
-// not know: neither may be taken for a success.
-func TestUnknownAnswersPromiseNothing(t *testing.T) {
+// Failure guarded against: a gateway of a later version answers with a code and a state that this
+// version does not know, and one of them counts as a success.
+func TestUnknownCodesAreNoSuccess(t *testing.T) {
 	a := answer(&relaypb.Answer{Code: 99, State: 9})
 	require.Equal(t, statement.Other, a.Code)
 	require.Equal(t, statement.FailedTransaction, a.State)
--- a/relay/draw.go
+++ b/relay/draw.go
@@ -8,12 +8,12 @@
 	"endivemoor.example/endivemoor/relay/relaypb"
 )
 
-// drawTimeout bounds the wait for an owner's answer. Whoever asks does not wait so long:
-// what comes late serves the next operation, if it has not lapsed.
+// drawTimeout bounds the wait for an owner's reply. It is longer than the requesting operation
+// waits: a late reply serves the next operation, unless its tokens have expired.
 const drawTimeout = 400 * time.Millisecond
 
-// Draw asks an owner of a workspace's limit for tokens.
-func (r *Router) Draw(vm catalog.VM, workspace string, want int) (tokens int, comeBack time.Duration, err error) {
+// Draw requests tokens from a VM that owns a share of a workspace's limit.
+func (r *Router) Draw(vm catalog.VM, workspace string, want int) (tokens int, retryAfter time.Duration, err error) {
 	var out *relaypb.DrawReply
 	err = r.peers.call(context.Background(), vm, drawTimeout, false, func(ctx context.Context, to relaypb.Relay) (err error) {
 		out, err = to.Draw(ctx, &relaypb.DrawRequest{Workspace: workspace, Want: uint32(want)})
@@ -25,5 +25,5 @@
 	return int(out.GetTokens()), duration(out.GetComeBackUs()), nil
 }
 
-// Rests reports whether a VM that did not answer is left alone for now.
-func (r *Router) Rests(vm catalog.VM) bool { return r.peers.rests(vm.Peer) }
+// InBackoff reports whether a VM that did not reply is in backoff.
+func (r *Router) Rests(vm catalog.VM) bool { return r.peers.inBackoff(vm.Peer) }
--- a/relay/evidence.go
+++ b/relay/evidence.go
@@ -12,14 +12,17 @@
 )
 
 const (
-	// newerBy is how much newer a gateway's proof must be to be worth its bytes.
-	newerBy = 50 * time.Millisecond
-	// renewPart is the part of a permission after which a gateway renews its witness:
-	// the rest is for the question, and for the statement that brings it along.
-	renewPart = 0.75
+	// minProofGain is how much newer than the sender's a gateway's proof must be to be sent along:
+	// a smaller difference is not worth the bytes.
+	minProofGain = 50 * time.Millisecond
+	// renewFraction is the fraction of a permission's duration after which a gateway renews its
+	// witness. The remainder is for the status query, and for the statement whose reply carries the
+	// evidence.
+	renewFraction = 0.75
 )
 
-// proofAge is the age of this VM's newest proof as a request tells it; 0 is none.
+// proofAge is the age of this VM's newest proof, in microseconds, as a request carries it; 0 means
+// none.
 func proofAge(g *groups.Group, now clock.Time) uint64 {
 	p, ok := g.Freshness.Newest()
 	if !ok {
@@ -30,12 +33,12 @@
 
 func latest(a, b clock.Time) clock.Time { return max(a, b) }
 
-// evidence is what an answer to another VM brings along: this gateway's newest
-// proof, unless that VM has one about as new.
+// evidence returns the evidence that a reply to another VM carries: this gateway's newest proof,
+// unless that VM has one that is about as recent.
 //
-// Failure guarded against: each VM of a large fleet sends a service few statements,
-// so that it has no proof of its own, and asks replicas for one with each purchase: a
-// question for each statement. A gateway sees the statements of many VMs.
+// Failure guarded against: each VM of a large fleet sends few statements to a service, so that it
+// has no proof of its own and queries replicas for one with each purchase: one status query per
+// statement. A gateway sees the statements of many VMs.
 func (s *Server) evidence(service string, senderAge uint64) *gossippb.Evidence {
 	now := s.cfg.Clock.Now()
 	g := s.cfg.Groups.Group(service)
@@ -44,27 +47,27 @@
 		return nil
 	}
 	age := now.Sub(latest(p.At, p.Witnessed))
-	if senderAge > 0 && age+newerBy > time.Duration(senderAge)*time.Microsecond {
+	if senderAge > 0 && age+minProofGain > time.Duration(senderAge)*time.Microsecond {
 		return nil
 	}
 	return gossip.EvidenceOf("", p, g.Acknowledged.Bound(), now)
 }
 
-// renew keeps this gateway's witness young while statements go to the primary.
-func (s *Server) renew(service string, id target.ID) {
+// renewWitness keeps this gateway's witness recent while statements go to the primary.
+func (s *Server) renewWitness(service string, id target.ID) {
 	g := s.cfg.Groups.Group(service)
 	b := g.Leadership.Believed()
 	if b.Primary != id || b.Term == 0 {
 		return
 	}
-	age := time.Duration(float64(takeover.Permission) * renewPart)
+	age := time.Duration(float64(takeover.Permission) * renewFraction)
 	if !g.Freshness.WitnessedSince(b.Term, s.cfg.Clock.Now().Add(-age)) {
 		g.Renew()
 	}
 }
 
-// hear takes over what an answer brought along.
-func hear(g *groups.Group, e *gossippb.Evidence, sent clock.Time) {
+// recordEvidence records the evidence that a reply carried.
+func recordEvidence(g *groups.Group, e *gossippb.Evidence, sent clock.Time) {
 	if e != nil {
 		g.Hear(gossip.ProofOf(e, sent))
 	}
--- a/relay/router.go
+++ b/relay/router.go
@@ -23,16 +23,17 @@
 )
 
 const (
-	// maxGateways bounds the gateways that one statement is sent to.
+	// maxGateways bounds the gateways that one statement is tried at.
 	maxGateways = 2
-	// loadAge is how long a gateway's word of its load counts: about the time in
-	// which a queue of a few statements is worked off.
-	loadAge = 200 * time.Millisecond
+	// maxLoadAge is how long the load that a gateway reported counts: about the time in which a
+	// queue of a few statements is processed.
+	maxLoadAge = 200 * time.Millisecond
 )
 
-// RouterConfig of a Router.
+// RouterConfig configures a Router.
 type RouterConfig struct {
-	// Local runs what needs no gateway; Asker carries orders, and Statuses questions.
+	// Local runs statements that need no gateway; Control sends commands to targets, and Statuses
+	// sends status queries.
 	Local    dispatch.Runner
 	Asker    Controller
 	Statuses *Statuses
@@ -45,43 +46,43 @@
 
 // Router runs statements over this VM's own connections or through gateways.
 type Router struct {
-	cfg   RouterConfig
-	peers *peers
-	plan  atomic.Pointer[planned]
+	cfg        RouterConfig
+	peers      *peers
+	assignment atomic.Pointer[catalogAssignment]
 
 	mu   sync.Mutex
 	load map[target.ID]*load
 }
 
-// planned is the plan with the catalog that it was made of.
-type planned struct {
+// catalogAssignment is an assignment with the catalog that it was computed from.
+type catalogAssignment struct {
 	*gateways.Plan
 	catalog *catalog.Catalog
 }
 
-// load is what this VM has under way to a target through gateways, and what the
-// last one said of itself.
+// load is the number of statements that this VM has in flight to a target through gateways, and
+// the load that a gateway last reported for the target.
 type load struct {
-	underWay int
-	told     int
-	at       clock.Time
+	inFlight   int
+	reported   int
+	reportedAt clock.Time
 }
 
 var _ dispatch.Runner = (*Router)(nil)
 
-// NewRouter returns a Router that uses no gateway before Update.
+// NewRouter returns a Router that uses no gateway until Update is called.
 func NewRouter(cfg RouterConfig) *Router {
 	return &Router{cfg: cfg, peers: newPeers(cfg.Dial, cfg.Clock), load: make(map[target.ID]*load)}
 }
 
-// Update takes over a new plan.
+// Update installs a new assignment, computed from the catalog c.
 func (r *Router) Update(p *gateways.Plan, c *catalog.Catalog) {
-	r.plan.Store(&planned{p, c})
+	r.assignment.Store(&catalogAssignment{p, c})
 	addrs := make(map[string]bool, len(c.VMs))
 	for _, vm := range c.VMs {
 		addrs[vm.Peer] = true
 	}
-	r.peers.keep(addrs)
+	r.peers.retain(addrs)
 	r.cfg.Statuses.Keep(c)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,10 +93,10 @@
 	}
 }
 
-// route returns the gateways to try for a target; none if this VM connects by
-// itself, as it also does if none of them answers.
+// route returns the gateways to try for a target; none if this VM connects to the target itself,
+// which it also does if none of the gateways replies.
 func (r *Router) route(id target.ID, workspace string) []catalog.VM {
-	p := r.plan.Load()
+	p := r.assignment.Load()
 	if p == nil {
 		return nil
 	}
@@ -105,14 +106,14 @@
 	}
 	var out []catalog.VM
 	for _, vm := range p.Route(t, workspace) {
-		if len(out) < maxGateways && !r.peers.rests(vm.Peer) {
+		if len(out) < maxGateways && !r.peers.inBackoff(vm.Peer) {
 			out = append(out, vm)
 		}
 	}
-	return r.peers.trusted(out)
+	return r.peers.suspectedLast(out)
 }
 
-// Proves implements dispatch.Runner: a gateway's answers bring proofs along.
+// Proves implements dispatch.Runner: the replies of a gateway carry proofs.
 func (r *Router) Proves(id target.ID) bool { return len(r.route(id, "")) > 0 }
 
 // Load implements dispatch.Runner.
@@ -127,15 +128,16 @@
 	switch {
 	case l == nil:
 		return lane.Load{}
-	case now.Sub(l.at) > loadAge:
-		return lane.Load{InUse: l.underWay}
+	case now.Sub(l.reportedAt) > maxLoadAge:
+		return lane.Load{InUse: l.inFlight}
 	default:
-		return lane.Load{InUse: max(l.underWay, l.told)}
+		return lane.Load{InUse: max(l.inFlight, l.reported)}
 	}
 }
 
-// begin counts a statement on its way; the result counts its end.
-func (r *Router) begin(id target.ID) func(told int32) {
+// begin counts a statement as in flight. The returned function counts its end, with the load that
+// the gateway reported or unknownLoad.
+func (r *Router) begin(id target.ID) func(reported int32) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.load[id]
@@ -143,49 +145,51 @@
 		l = &load{}
 		r.load[id] = l
 	}
-	l.underWay++
-	return func(told int32) {
+	l.inFlight++
+	return func(reported int32) {
 		now := r.cfg.Clock.Now()
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		l.underWay--
-		if told >= 0 {
-			l.told, l.at = int(told), now
+		l.inFlight--
+		if reported >= 0 {
+			l.reported, l.reportedAt = int(reported), now
 		}
 	}
 }
 
-// untold is given to what begin returns if the gateway did not tell its load.
-const untold = -1
+// unknownLoad is the argument of the function that begin returns if the gateway did not report its
+// load.
+const unknownLoad = -1
 
-// mayPass reports whether a statement may go to the next gateway: it surely was
-// not sent, and another VM may reach the target.
-func mayPass(err error) bool {
+// mayTryNext reports whether a statement may go to the next gateway: it was certainly not sent to
+// the target, and another VM may reach the target.
+func mayTryNext(err error) bool {
 	var unavailable *lane.UnavailableError
 	return isGateway(err) || (errors.As(err, &unavailable) && dispatch.Silent(err))
 }
 
-// through tries the gateways to a target in turn, while the statement may pass.
-// The result is whether one of them has settled it; err is then what came of it.
-// If no gateway can say anything of the target, it is not settled.
-func (r *Router) through(id target.ID, workspace string, try func(vm catalog.VM) error) (settled bool, err error) {
-	var silent error
+// tryGateways tries the gateways to a target one after another, while the statement may go to the
+// next one. It reports whether the statement is settled, that is, whether a gateway reported a
+// result of the target; err is then that result. The statement is not settled if no gateway could
+// report anything about the target.
+func (r *Router) tryGateways(id target.ID, workspace string, try func(vm catalog.VM) error) (settled bool, err error) {
+	var unreachable error
 	for _, vm := range r.route(id, workspace) {
 		err := try(vm)
-		if err == nil || !mayPass(err) {
+		if err == nil || !mayTryNext(err) {
 			return true, err
 		}
 		if !isGateway(err) {
-			silent = err
+			unreachable = err
 		}
 	}
-	return silent != nil, silent
+	return unreachable != nil, unreachable
 }
 
 // Run implements dispatch.Runner.
 func (r *Router) Run(ctx context.Context, id target.ID, claim dispatch.Claim, job *dispatch.Job) (*dispatch.Result, error) {
 	var out *dispatch.Result
-	settled, err := r.through(id, claim.Order.Workspace, func(vm catalog.VM) (err error) {
+	settled, err := r.tryGateways(id, claim.Order.Workspace, func(vm catalog.VM) (err error) {
 		out, err = r.runAt(ctx, vm, id, claim, job)
 		return err
 	})
@@ -201,11 +205,11 @@
 // runAt runs one statement through a gateway.
 func (r *Router) runAt(ctx context.Context, vm catalog.VM, id target.ID, c dispatch.Claim, j *dispatch.Job) (*dispatch.Result, error) {
 	ended := r.begin(id)
-	told := int32(untold)
-	defer func() { ended(told) }()
+	reported := int32(unknownLoad)
+	defer func() { ended(reported) }()
 	g := r.cfg.Groups.Group(j.Service)
 	sent := r.cfg.Clock.Now()
-	left := leftOf(ctx)
+	left := timeLeft(ctx)
 	in := jobOf(j, left)
 	c.Queue = min(c.Queue, left)
 	in.Claim = claimOf(j.Service, id, c, sent)
@@ -214,7 +218,7 @@
 	if err != nil {
 		return nil, err
 	}
-	told = out.load
+	reported = out.load
 	return out.Result, nil
 }
 
@@ -223,21 +227,21 @@
 	load int32
 }
 
-// run makes the call for one statement, and keeps the accounts that its answer
-// feeds.
-func (r *Router) run(ctx context.Context, vm catalog.VM, g *groups.Group, b leadership.Belief, id target.ID, in *relaypb.RunRequest, sent clock.Time, most time.Duration) (*outcome, error) {
+// run makes the call for one statement, and records the evidence, the health of the target and the
+// acknowledged position that the reply shows.
+func (r *Router) run(ctx context.Context, vm catalog.VM, g *groups.Group, b leadership.Belief, id target.ID, in *relaypb.RunRequest, sent clock.Time, timeout time.Duration) (*outcome, error) {
 	before := g.Acknowledged.Before()
 	var out *relaypb.RunReply
-	err := r.peers.call(ctx, vm, most+callSlack, in.GetTransaction() == 0 && !in.GetCommits(), func(ctx context.Context, to relaypb.Relay) (err error) {
+	err := r.peers.call(ctx, vm, timeout+callSlack, in.GetTransaction() == 0 && !in.GetCommits(), func(ctx context.Context, to relaypb.Relay) (err error) {
 		out, err = to.Run(ctx, in)
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	hear(g, out.GetEvidence(), sent)
+	recordEvidence(g, out.GetEvidence(), sent)
 	if out.GetFailure() != nil {
-		return nil, r.failed(g, id, out.GetFailure())
+		return nil, r.recordFailure(g, id, out.GetFailure())
 	}
 	a := answer(out.GetAnswer())
 	g.Health.Answered(id)
@@ -249,8 +253,8 @@
 	return &outcome{res, out.GetLoad()}, nil
 }
 
-// failed takes over a gateway's account of a target that did not answer.
-func (r *Router) failed(g *groups.Group, id target.ID, f *relaypb.Failure) error {
+// recordFailure records a failure of a target that a gateway reported, and returns it as an error.
+func (r *Router) recordFailure(g *groups.Group, id target.ID, f *relaypb.Failure) error {
 	err := failure(f, id)
 	if dispatch.Silent(err) && !isGateway(err) {
 		g.Health.Failed(id, r.cfg.Clock.Now(), f.GetRefused())
@@ -258,12 +262,12 @@
 	return err
 }
 
-// leftOf is the time that a gateway has: its answer, also that there is none,
-// must be back before the context's deadline.
+// timeLeft is the time that a gateway gets: its reply, including one that reports a failure, must
+// arrive before the context's deadline.
 //
-// Failure guarded against: a statement that waited for a connection in vain and
-// is taken for lost. It shows as a write in doubt that surely was not sent.
-func leftOf(ctx context.Context) time.Duration {
+// Failure guarded against: a statement waits for a connection until its deadline, and the late reply
+// makes it count as lost. A write that was certainly not sent is then reported as in doubt.
+func timeLeft(ctx context.Context) time.Duration {
 	d, ok := ctx.Deadline()
 	if !ok {
 		return maxLeft
--- a/relay/server.go
+++ b/relay/server.go
@@ -20,21 +20,22 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// ServerConfig of a Server.
+// ServerConfig configures a Server.
 type ServerConfig struct {
-	// Local runs the statements; Asker carries orders, and Statuses questions.
+	// Local runs the statements; Control sends commands to targets, and Statuses sends status
+	// queries.
 	Local    dispatch.Runner
 	Asker    Controller
 	Statuses *Statuses
 	Groups   *groups.Registry
 	Clock    clock.Clock
 	Log      *zap.Logger
-	// Serves reports whether new work for a target is taken.
+	// Serves reports whether this VM accepts new work for a target.
 	Serves func(id target.ID) bool
-	// Idle is how long a transaction may stay without a statement.
+	// Idle returns how long a transaction may stay open without a statement.
 	Idle func() time.Duration
-	// Draw takes tokens of the part of a workspace's limit that this VM owns.
-	Draw func(workspace string, want int) (tokens int, comeBack time.Duration)
+	// Draw takes tokens from this VM's share of a workspace's limit.
+	Draw func(workspace string, want int) (tokens int, retryAfter time.Duration)
 }
 
 // Server runs other VMs' statements over this VM's own connections. It is safe
@@ -43,31 +44,33 @@
 	cfg ServerConfig
 
 	mu   sync.Mutex
-	open map[uint64]*held
+	open map[uint64]*openTransaction
 }
 
-// held is a transaction that is open for another VM. All but tx is guarded by
-// the Server's lock.
-type held struct {
+// openTransaction is a transaction that is open for another VM. The Server's lock guards all fields
+// but tx.
+type openTransaction struct {
 	tx dispatch.Transaction
-	// used is when its last statement ended.
-	used clock.Time
+	// lastUsed is when the last statement ended.
+	lastUsed clock.Time
 	// busy is set while a statement runs.
 	busy bool
-	// left is set if its VM has ended it meanwhile.
-	left bool
+	// abandoned is set if the other VM ended the transaction while a statement was running.
+	abandoned bool
 }
 
 // NewServer returns a Server.
-func NewServer(cfg ServerConfig) *Server { return &Server{cfg: cfg, open: make(map[uint64]*held)} }
+func NewServer(cfg ServerConfig) *Server {
+	return &Server{cfg: cfg, open: make(map[uint64]*openTransaction)}
+}
 
-// Handler returns the Server's HTTP face and the path that leads to it.
+// Handler returns the Server's HTTP handler and the path prefix that it serves.
 func (s *Server) Handler() (path string, h http.Handler) {
 	twirp := relaypb.NewRelayServer(s)
 	return twirp.PathPrefix(), terse.Handler(twirp)
 }
 
-// Count is how many transactions are open for other VMs.
+// Count returns the number of transactions that are open for other VMs.
 func (s *Server) Count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +90,7 @@
 	if !s.cfg.Serves(id) {
 		return &relaypb.RunReply{Failure: declined}, nil
 	}
-	s.renew(in.GetClaim().GetService(), id)
+	s.renewWitness(in.GetClaim().GetService(), id)
 	r, err := s.cfg.Local.Run(ctx, id, claim(in.GetClaim(), s.cfg.Clock.Now()), job(in))
 	return s.reply(id, in, r, err), nil
 }
@@ -107,30 +110,31 @@
 	return int32(l.InUse + l.Queued)
 }
 
-// runInTransaction runs a statement of an open transaction, and forgets the
-// transaction once it has ended.
+// runInTransaction runs a statement of an open transaction, and removes the transaction once it
+// has ended.
 func (s *Server) runInTransaction(ctx context.Context, in *relaypb.RunRequest) (*relaypb.RunReply, error) {
-	h := s.take(in.GetTransaction())
+	h := s.acquire(in.GetTransaction())
 	if h == nil {
 		return &relaypb.RunReply{Failure: &relaypb.Failure{Kind: relaypb.Failure_UNREADY, Text: "the transaction is not open here"}}, nil
 	}
-	s.renew(in.GetClaim().GetService(), h.tx.Target())
+	s.renewWitness(in.GetClaim().GetService(), h.tx.Target())
 	r, err := h.tx.Run(ctx, claim(in.GetClaim(), s.cfg.Clock.Now()).Order, job(in))
 	switch {
 	case err != nil:
-		s.forget(in.GetTransaction())
+		s.remove(in.GetTransaction())
 		h.tx.Discard()
 	case r.Answer.State == statement.Idle:
-		s.forget(in.GetTransaction())
+		s.remove(in.GetTransaction())
 		h.tx.Release()
-	case s.giveBack(h):
+	case s.statementEnded(h):
 		h.tx.Abandon()
 	}
 	return s.reply(h.tx.Target(), in, r, err), nil
 }
 
-// take returns an open transaction for one statement; nil if it is not open.
-func (s *Server) take(number uint64) *held {
+// acquire marks an open transaction as busy with one statement and returns it; nil if it is not
+// open, or is busy.
+func (s *Server) acquire(number uint64) *openTransaction {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.open[number]
@@ -141,16 +145,16 @@
 	return h
 }
 
-// giveBack ends a statement, and reports whether the transaction was left while
-// it ran.
-func (s *Server) giveBack(h *held) bool {
+// statementEnded records the end of a statement, and reports whether the other VM abandoned the
+// transaction while it ran.
+func (s *Server) statementEnded(h *openTransaction) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h.busy, h.used = false, s.cfg.Clock.Now()
-	return h.left
+	h.busy, h.lastUsed = false, s.cfg.Clock.Now()
+	return h.abandoned
 }
 
-func (s *Server) forget(number uint64) {
+func (s *Server) remove(number uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, number)
@@ -165,7 +169,7 @@
 	ctx, cancel := context.WithTimeout(ctx, duration(in.GetLeftUs()))
 	defer cancel()
 	service := in.GetClaim().GetService()
-	s.renew(service, id)
+	s.renewWitness(service, id)
 	o := &dispatch.Opening{Service: service, Values: values(in.GetValues())}
 	o.Begin.ReadOnly, o.Begin.After = in.GetReadOnly(), position(in.GetAfter())
 	tx, a, err := s.cfg.Local.Open(ctx, id, claim(in.GetClaim(), s.cfg.Clock.Now()), o)
@@ -174,27 +178,27 @@
 	}
 	out := &relaypb.OpenReply{Answer: answerOf(a), Load: s.load(id), Evidence: s.evidence(service, in.GetProofAgeUs())}
 	if tx != nil {
-		out.Transaction = s.keep(tx)
+		out.Transaction = s.add(tx)
 	}
 	return out, nil
 }
 
-func (s *Server) keep(tx dispatch.Transaction) uint64 {
+func (s *Server) add(tx dispatch.Transaction) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	number := rand.Uint64() | 1
-	s.open[number] = &held{tx: tx, used: s.cfg.Clock.Now()}
+	s.open[number] = &openTransaction{tx: tx, lastUsed: s.cfg.Clock.Now()}
 	return number
 }
 
 // Ask implements relaypb.Relay.
 func (s *Server) Ask(ctx context.Context, in *relaypb.AskRequest) (*relaypb.AskReply, error) {
 	id := target.ID(in.GetTarget())
-	ask, known := lane.DecodeAsk(in.GetKind(), in.GetTerm())
+	cmd, known := lane.DecodeAsk(in.GetKind(), in.GetTerm())
 	if !known || !s.cfg.Serves(id) {
 		return &relaypb.AskReply{Failure: declined}, nil
 	}
-	rows, age, err := s.ask(ctx, id, ask, in)
+	rows, age, err := s.command(ctx, id, cmd, in)
 	var refused *lane.RefusedError
 	switch {
 	case errors.As(err, &refused):
@@ -206,24 +210,24 @@
 	}
 }
 
-func (s *Server) ask(ctx context.Context, id target.ID, ask lane.Ask, in *relaypb.AskRequest) ([]string, time.Duration, error) {
+func (s *Server) command(ctx context.Context, id target.ID, cmd lane.Ask, in *relaypb.AskRequest) ([]string, time.Duration, error) {
 	timeout := duration(in.GetTimeoutUs())
-	if ask == lane.AskStatus {
+	if cmd == lane.AskStatus {
 		return s.cfg.Statuses.Recent(ctx, id, duration(int64(in.GetMaxAgeUs())), timeout)
 	}
-	rows, err := s.cfg.Asker.Control(ctx, id, ask, timeout)
+	rows, err := s.cfg.Asker.Control(ctx, id, cmd, timeout)
 	return rows, 0, err
 }
 
 // Draw implements relaypb.Relay.
 func (s *Server) Draw(_ context.Context, in *relaypb.DrawRequest) (*relaypb.DrawReply, error) {
-	tokens, comeBack := s.cfg.Draw(in.GetWorkspace(), int(in.GetWant()))
-	return &relaypb.DrawReply{Tokens: uint32(tokens), ComeBackUs: micros(comeBack)}, nil
+	tokens, retryAfter := s.cfg.Draw(in.GetWorkspace(), int(in.GetWant()))
+	return &relaypb.DrawReply{Tokens: uint32(tokens), ComeBackUs: micros(retryAfter)}, nil
 }
 
 // End implements relaypb.Relay.
 func (s *Server) End(_ context.Context, in *relaypb.EndRequest) (*relaypb.EndReply, error) {
-	h := s.leave(in.GetTransaction())
+	h := s.detach(in.GetTransaction())
 	switch {
 	case h == nil:
 	case in.GetDiscard():
@@ -234,35 +238,35 @@
 	return &relaypb.EndReply{}, nil
 }
 
-// leave forgets an open transaction and returns it, unless a statement of it
-// still runs: that one's end is then the transaction's.
-func (s *Server) leave(number uint64) *held {
+// detach removes an open transaction and returns it. It returns nil while a statement of the
+// transaction still runs: the end of that statement then ends the transaction.
+func (s *Server) detach(number uint64) *openTransaction {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.open[number]
 	delete(s.open, number)
 	if h != nil && h.busy {
-		h.left = true
+		h.abandoned = true
 		return nil
 	}
 	return h
 }
 
-// Sweep rolls back the transactions that were left open: their VM ends those of
-// its consumers that are idle for too long, so that one which lasts longer has no
-// VM any more. It is due every now and then.
+// Sweep rolls back the transactions that other VMs left open. A VM ends those transactions of its
+// consumers that are idle for too long, so that one that stays idle longer belongs to a VM that no
+// longer runs. Sweep must be called periodically.
 func (s *Server) Sweep() {
 	now, idle := s.cfg.Clock.Now(), s.cfg.Idle()
 	s.mu.Lock()
-	var left []*held
+	var abandoned []*openTransaction
 	for number, h := range s.open {
-		if !h.busy && now.Sub(h.used) > idle {
-			left = append(left, h)
+		if !h.busy && now.Sub(h.lastUsed) > idle {
+			abandoned = append(abandoned, h)
 			delete(s.open, number)
 		}
 	}
 	s.mu.Unlock()
-	for _, h := range left {
+	for _, h := range abandoned {
 		s.cfg.Log.Info("relayed-transaction-left", zap.String("target", string(h.tx.Target())))
 		h.tx.Abandon()
 	}
--- a/relay/server_test.go
+++ b/relay/server_test.go
@@ -14,11 +14,11 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-type still struct{}
+type fixedClock struct{}
 
-func (still) Now() clock.Time { return 1 }
+func (fixedClock) Now() clock.Time { return 1 }
 
-// opener is a Runner whose transactions are those that it is given.
+// opener is a Runner that opens the transaction tx.
 type opener struct {
 	dispatch.Runner
 	tx *slowTransaction
@@ -30,7 +30,7 @@
 
 func (o *opener) Load(target.ID) lane.Load { return lane.Load{} }
 
-// slowTransaction runs each statement until it is told to go on.
+// slowTransaction runs each statement until goOn is closed.
 type slowTransaction struct {
 	running, goOn chan struct{}
 	abandoned     int
@@ -48,13 +48,13 @@
 func (t *slowTransaction) Abandon() { t.abandoned++ }
 func (t *slowTransaction) Discard() {}
 
-// A consumer leaves while a statement of its transaction still runs at the
-// gateway. Were the transaction rolled back at once, the connection would carry
-// the rollback in the middle of that statement, and serve another consumer before
-// its answer has come.
-func TestTransactionThatIsLeftEndsWithItsStatement(t *testing.T) {
+// Failure guarded against: a consumer disconnects while a statement of its transaction still runs
+// at the gateway, and the gateway rolls the transaction back at once. The connection then carries
+// the rollback in the middle of that statement, and serves another consumer before the answer to
+// the statement has arrived.
+func TestAbandonedTransactionEndsWithItsStatement(t *testing.T) {
 	tx := &slowTransaction{running: make(chan struct{}), goOn: make(chan struct{})}
-	s := NewServer(ServerConfig{Local: &opener{tx: tx}, Clock: still{}, Groups: noGroups(), Serves: func(target.ID) bool { return true }})
+	s := NewServer(ServerConfig{Local: &opener{tx: tx}, Clock: fixedClock{}, Groups: noGroups(), Serves: func(target.ID) bool { return true }})
 	opened, err := s.Open(context.Background(), &relaypb.OpenRequest{LeftUs: 1e6})
 	require.NoError(t, err)
 	number := opened.GetTransaction()
@@ -75,15 +75,15 @@
 	require.Zero(t, s.Count())
 }
 
-// A VM that leaves, or that does not know a target, takes no new work for it: the
-// other VM is told so, and goes elsewhere at once.
+// A VM that drains, or that does not know a target, accepts no new work for it: the other VM gets a
+// reply that says so, and tries another gateway at once.
 func TestGatewayDeclinesWhatItDoesNotServe(t *testing.T) {
-	s := NewServer(ServerConfig{Clock: still{}, Serves: func(target.ID) bool { return false }})
+	s := NewServer(ServerConfig{Clock: fixedClock{}, Serves: func(target.ID) bool { return false }})
 	opened, err := s.Open(context.Background(), &relaypb.OpenRequest{})
 	require.NoError(t, err)
 	require.ErrorIs(t, failure(opened.GetFailure(), "t"), errDeclined)
 	ran, err := s.Run(context.Background(), &relaypb.RunRequest{})
 	require.NoError(t, err)
 	require.ErrorIs(t, failure(ran.GetFailure(), "t"), errDeclined)
-	require.True(t, mayPass(failure(ran.GetFailure(), "t")))
+	require.True(t, mayTryNext(failure(ran.GetFailure(), "t")))
 }
--- a/relay/statuses.go
+++ b/relay/statuses.go
@@ -12,55 +12,55 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// Statuses asks targets for their accounts of themselves over this VM's own
-// connections, and keeps what they last said. It is safe for concurrent use.
+// Statuses sends status queries to targets over this VM's own connections, and caches the latest
+// status report of each target. It is safe for concurrent use.
 //
-// Failure guarded against: each VM of a large fleet asks the same targets the same
-// questions, which take slots from consumers' statements and grow with the fleet.
-// Whoever says how old an answer may be is told what another was told just now, and
-// shares a question that is under way.
+// Failure guarded against: each VM of a large fleet sends the same status queries to the same
+// targets, and the queries take slots from consumers' statements and grow with the fleet. A
+// requester that states how old a report may be gets a cached one, or shares a query that is in
+// flight.
 type Statuses struct {
 	ctl Controller
 	clk clock.Clock
 
-	mu sync.Mutex
-	at map[target.ID]*account
+	mu       sync.Mutex
+	byTarget map[target.ID]*cachedStatus
 }
 
-// Controller sends a target one of the fleet's questions or orders.
+// Controller sends a target one of the fleet's status queries or commands.
 type Controller interface {
-	Control(ctx context.Context, id target.ID, ask lane.Ask, timeout time.Duration) ([]string, error)
+	Control(ctx context.Context, id target.ID, cmd lane.Ask, timeout time.Duration) ([]string, error)
 }
 
-// account is what a target last said, and the latest question.
-type account struct {
+// cachedStatus is the latest status report of a target, and the newest query in flight.
+type cachedStatus struct {
 	rows   []string
 	sent   clock.Time
-	latest *asking
+	latest *statusQuery
 }
 
-// asking is a question under way. Its result is set before done is closed.
-type asking struct {
+// statusQuery is a status query in flight. Its result is set before done is closed.
+type statusQuery struct {
 	sent clock.Time
 	done chan struct{}
 	rows []string
 	err  error
 }
 
-// NewStatuses returns Statuses that ask by ctl.
+// NewStatuses returns Statuses that send their queries with ctl.
 func NewStatuses(ctl Controller, clk clock.Clock) *Statuses {
-	return &Statuses{ctl: ctl, clk: clk, at: make(map[target.ID]*account)}
+	return &Statuses{ctl: ctl, clk: clk, byTarget: make(map[target.ID]*cachedStatus)}
 }
 
-// Recent returns the rows of an account that was asked for at most maxAge before
-// this call, and how long before: 0 if it was asked for since.
+// Recent returns the rows of a status report whose query was sent at most maxAge before this call,
+// and how long before: 0 if it was sent since.
 func (s *Statuses) Recent(ctx context.Context, id target.ID, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
 	now := s.clk.Now()
 	s.mu.Lock()
-	a := s.at[id]
+	a := s.byTarget[id]
 	if a == nil {
-		a = &account{}
-		s.at[id] = a
+		a = &cachedStatus{}
+		s.byTarget[id] = a
 	}
 	if a.rows != nil && now.Sub(a.sent) <= maxAge && maxAge > 0 {
 		rows, age := a.rows, now.Sub(a.sent)
@@ -69,9 +69,9 @@
 	}
 	q := a.latest
 	if q == nil || maxAge == 0 || now.Sub(q.sent) > maxAge {
-		q = &asking{sent: now, done: make(chan struct{})}
+		q = &statusQuery{sent: now, done: make(chan struct{})}
 		a.latest = q
-		go s.ask(id, a, q, timeout)
+		go s.query(id, a, q, timeout)
 	}
 	s.mu.Unlock()
 	select {
@@ -82,8 +82,9 @@
 	}
 }
 
-// ask puts the question. It is not its first asker's alone, and goes on without it.
-func (s *Statuses) ask(id target.ID, a *account, q *asking, timeout time.Duration) {
+// query sends the status query. Later requesters share it, so that it continues if the first
+// requester cancels.
+func (s *Statuses) query(id target.ID, a *cachedStatus, q *statusQuery, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	q.rows, q.err = s.ctl.Control(ctx, id, lane.AskStatus, timeout)
@@ -98,13 +99,13 @@
 	close(q.done)
 }
 
-// Keep forgets the targets that are not known any more.
+// Retain drops the targets that are not in the catalog.
 func (s *Statuses) Keep(c *catalog.Catalog) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id := range s.at {
+	for id := range s.byTarget {
 		if c.Targets[id] == nil {
-			delete(s.at, id)
+			delete(s.byTarget, id)
 		}
 	}
 }
--- a/relay/statuses_test.go
+++ b/relay/statuses_test.go
@@ -22,43 +22,43 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// registryOn has the groups of services whose targets are never asked.
+// registryOn returns a registry of groups whose targets are never queried.
 func registryOn(clk clock.Clock) *groups.Registry {
 	return groups.NewRegistry(groups.Config{Catalog: catalog.NewHolder(), Clock: clk, Log: zap.NewNop()})
 }
 
-func noGroups() *groups.Registry { return registryOn(still{}) }
+func noGroups() *groups.Registry { return registryOn(fixedClock{}) }
 
-// talker is a target that takes a while for each question, in virtual time.
-type talker struct {
-	mu    sync.Mutex
-	asked int
-	err   error
+// slowTarget is a target that takes answerTime for each status query, in virtual time.
+type slowTarget struct {
+	mu      sync.Mutex
+	queries int
+	err     error
 }
 
-// count is how often it was asked.
-func (k *talker) count() int {
+// count returns the number of status queries received.
+func (k *slowTarget) count() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.asked
+	return k.queries
 }
 
-const talks = 10 * time.Millisecond
+const answerTime = 10 * time.Millisecond
 
-func (k *talker) Control(_ context.Context, id target.ID, _ lane.Ask, _ time.Duration) ([]string, error) {
+func (k *slowTarget) Control(_ context.Context, id target.ID, _ lane.Ask, _ time.Duration) ([]string, error) {
 	k.mu.Lock()
-	k.asked++
+	k.queries++
 	err := k.err
 	k.mu.Unlock()
-	time.Sleep(talks)
+	time.Sleep(answerTime)
 	return []string{string(id)}, err
 }
 
-// Two hundred VMs ask a gateway about the same replica within a tenth of a second.
-// Passed on one by one their questions take the target's slots from its readers.
-func TestManyVMsShareAQuestion(t *testing.T) {
+// Failure guarded against: two hundred VMs query the status of the same replica at a gateway within
+// a tenth of a second, and the gateway forwards each query, which takes slots from the readers.
+func TestManyVMsShareAStatusQuery(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		k := &talker{}
+		k := &slowTarget{}
 		s := NewStatuses(k, monotonic.New())
 		var wg sync.WaitGroup
 		for i := range 200 {
@@ -69,7 +69,7 @@
 				require.NoError(t, err)
 				require.Equal(t, []string{"t"}, rows)
 				require.LessOrEqual(t, age, 100*time.Millisecond)
-				require.LessOrEqual(t, time.Since(called), talks)
+				require.LessOrEqual(t, time.Since(called), answerTime)
 			})
 		}
 		wg.Wait()
@@ -77,33 +77,33 @@
 	})
 }
 
-// A read must see what was acknowledged before it came. Who asks for an account of
-// now gets no older one, also not that of a question which is under way already.
-func TestAnAccountOfNowIsAskedForNow(t *testing.T) {
+// Failure guarded against: a read misses a commit that was acknowledged before the read arrived. A
+// requester that accepts no age gets no older status report, nor that of a query already in flight.
+func TestZeroMaxAgeSendsANewQuery(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		k := &talker{}
+		k := &slowTarget{}
 		s := NewStatuses(k, monotonic.New())
 		for range 3 {
 			go func() { _, _, _ = s.Recent(context.Background(), "t", 0, time.Second) }()
 			time.Sleep(time.Millisecond)
 		}
-		time.Sleep(talks)
+		time.Sleep(answerTime)
 		require.Equal(t, 3, k.count())
-		_, age, err := s.Recent(context.Background(), "t", 2*talks, time.Second)
+		_, age, err := s.Recent(context.Background(), "t", 2*answerTime, time.Second)
 		require.NoError(t, err)
-		require.Equal(t, talks+time.Millisecond, age, "since the latest question was sent")
-		time.Sleep(talks)
-		_, age, err = s.Recent(context.Background(), "t", talks, time.Second)
+		require.Equal(t, answerTime+time.Millisecond, age, "since the latest question was sent")
+		time.Sleep(answerTime)
+		_, age, err = s.Recent(context.Background(), "t", answerTime, time.Second)
 		require.NoError(t, err)
 		require.Zero(t, age)
 		require.Equal(t, 4, k.count())
 	})
 }
 
-// A question that was not answered is no account, and the next one is put anew.
-func TestSilenceIsNoAccount(t *testing.T) {
+// A query without an answer yields no status report, and the next request sends a new query.
+func TestFailedQueryIsNotCached(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		k := &talker{err: errors.New("no answer")}
+		k := &slowTarget{err: errors.New("no answer")}
 		s := NewStatuses(k, monotonic.New())
 		_, _, err := s.Recent(context.Background(), "t", time.Second, time.Second)
 		require.Error(t, err)
@@ -113,37 +113,38 @@
 	})
 }
 
-// A VM buys through a gateway, seldom enough to have no proof of its own. The answer
-// brings the gateway's along, with its age counted from when the VM sent its request;
-// a VM that has one as new is spared the bytes.
+// A VM sends a purchase through a gateway, so seldom that it has no proof of its own. The reply
+// carries the gateway's proof, with its age counted from when the VM sent its request. The reply to
+// a VM that has a proof as recent carries none, to save the bytes.
 func TestAnswersBringNewerProofsAlong(t *testing.T) {
-	clk := &steps{now: clock.Time(time.Minute)}
-	held := registryOn(clk)
+	clk := &manualClock{now: clock.Time(time.Minute)}
+	registry := registryOn(clk)
 	at := clk.now
-	held.Group("s").Freshness.Relay(freshness.Proof{Term: 3, Leader: "p", At: at, Position: timeline.Position{Term: 3, LSN: 7}, Witnessed: at})
-	s := NewServer(ServerConfig{Clock: clk, Groups: held})
+	registry.Group("s").Freshness.Relay(freshness.Proof{Term: 3, Leader: "p", At: at, Position: timeline.Position{Term: 3, LSN: 7}, Witnessed: at})
+	s := NewServer(ServerConfig{Clock: clk, Groups: registry})
 	clk.now = clk.now.Add(20 * time.Millisecond)
 	e := s.evidence("s", 0)
 	require.NotNil(t, e)
 
-	asker := registryOn(clk).Group("s")
-	hear(asker, e, at)
-	p, ok := asker.Freshness.Newest()
+	requester := registryOn(clk).Group("s")
+	recordEvidence(requester, e, at)
+	p, ok := requester.Freshness.Newest()
 	require.True(t, ok)
 	require.Equal(t, timeline.Position{Term: 3, LSN: 7}, p.Position)
-	require.LessOrEqual(t, p.At, at.Add(-20*time.Millisecond), "never newer than it is")
+	require.LessOrEqual(t, p.At, at.Add(-20*time.Millisecond), "never newer than the gateway's own proof")
 
-	require.Nil(t, s.evidence("s", uint64((60*time.Millisecond).Microseconds())), "about as new")
+	require.Nil(t, s.evidence("s", uint64((60*time.Millisecond).Microseconds())), "about as recent")
 	require.NotNil(t, s.evidence("s", uint64(time.Second.Microseconds())))
 	require.Nil(t, s.evidence("unknown", 0))
 }
 
-// steps is a clock that stands still until it is moved.
-type steps struct{ now clock.Time }
+// manualClock is a clock that only the test advances.
+type manualClock struct{ now clock.Time }
 
-func (s *steps) Now() clock.Time { return s.now }
+func (s *manualClock) Now() clock.Time { return s.now }
 
-// A gateway of the version before tells no age: its answers were asked for just now.
-func TestOldGatewaysAnswersAreOfNow(t *testing.T) {
+// The reply of a gateway of the previous version carries no age: the target was queried since the
+// request.
+func TestReplyWithoutAgeHasAgeZero(t *testing.T) {
 	require.Zero(t, duration(int64((&relaypb.AskReply{}).GetAgeUs())))
 }
--- a/relay/transaction.go
+++ b/relay/transaction.go
@@ -16,15 +16,15 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// endTimeout bounds telling a gateway that a transaction was left. If it does
-// not hear of it, it finds out by itself.
+// endTimeout bounds the call that ends a transaction at a gateway. A gateway that does not receive
+// the call ends the transaction by Server.Sweep.
 const endTimeout = 500 * time.Millisecond
 
-// transaction is one that is open at a gateway.
+// transaction is a transaction that is open at a gateway.
 type transaction struct {
 	router *Router
 	group  *groups.Group
-	belief leadership.Belief
+	state  leadership.Belief
 	id     target.ID
 	vm     catalog.VM
 	number uint64
@@ -35,7 +35,7 @@
 func (r *Router) Open(ctx context.Context, id target.ID, claim dispatch.Claim, o *dispatch.Opening) (dispatch.Transaction, *statement.Answer, error) {
 	var tx dispatch.Transaction
 	var a *statement.Answer
-	settled, err := r.through(id, claim.Order.Workspace, func(vm catalog.VM) (err error) {
+	settled, err := r.tryGateways(id, claim.Order.Workspace, func(vm catalog.VM) (err error) {
 		tx, a, err = r.openAt(ctx, vm, id, claim, o)
 		return err
 	})
@@ -47,11 +47,11 @@
 
 func (r *Router) openAt(ctx context.Context, vm catalog.VM, id target.ID, c dispatch.Claim, o *dispatch.Opening) (dispatch.Transaction, *statement.Answer, error) {
 	ended := r.begin(id)
-	told := int32(untold)
-	defer func() { ended(told) }()
+	reported := int32(unknownLoad)
+	defer func() { ended(reported) }()
 	g := r.cfg.Groups.Group(o.Service)
 	b := g.Leadership.Believed()
-	left := leftOf(ctx)
+	left := timeLeft(ctx)
 	c.Queue = min(c.Queue, left)
 	sent := r.cfg.Clock.Now()
 	in := &relaypb.OpenRequest{
@@ -66,10 +66,10 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	told = out.GetLoad()
-	hear(g, out.GetEvidence(), sent)
+	reported = out.GetLoad()
+	recordEvidence(g, out.GetEvidence(), sent)
 	if out.GetFailure() != nil {
-		return nil, nil, r.failed(g, id, out.GetFailure())
+		return nil, nil, r.recordFailure(g, id, out.GetFailure())
 	}
 	a := answer(out.GetAnswer())
 	g.Health.Answered(id)
@@ -79,22 +79,22 @@
 	if out.GetTransaction() == 0 {
 		return nil, a, nil
 	}
-	return &transaction{router: r, group: g, belief: b, id: id, vm: vm, number: out.GetTransaction()}, a, nil
+	return &transaction{router: r, group: g, state: b, id: id, vm: vm, number: out.GetTransaction()}, a, nil
 }
 
 // Target implements dispatch.Transaction.
 func (t *transaction) Target() target.ID { return t.id }
 
-// Run implements dispatch.Transaction. The gateway itself gives the connection
-// back once the transaction has ended.
+// Run implements dispatch.Transaction. The gateway itself releases the connection once the
+// transaction has ended.
 func (t *transaction) Run(ctx context.Context, o lane.Order, j *dispatch.Job) (*dispatch.Result, error) {
-	left := leftOf(ctx)
+	left := timeLeft(ctx)
 	in := jobOf(j, left)
 	in.Transaction = t.number
 	sent := t.router.cfg.Clock.Now()
 	in.Claim = claimOf(j.Service, t.id, dispatch.Claim{Order: o}, sent)
 	in.ProofAgeUs = proofAge(t.group, sent)
-	out, err := t.router.run(ctx, t.vm, t.group, t.belief, t.id, in, sent, min(j.Answer, left))
+	out, err := t.router.run(ctx, t.vm, t.group, t.state, t.id, in, sent, min(j.Answer, left))
 	if err != nil {
 		return nil, err
 	}
