--- a/gossip/bulk.go
+++ b/gossip/bulk.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	// inlineBytes is how large a list may be that a reply carries.
+	// inlineBytes is the largest size of a list that a reply carries itself.
 	inlineBytes = 16 << 10
-	// rangeBytes is how much of a bulk one call reads: over a slow link that several
-	// peers read over at once it still takes a fraction of callTimeout.
+	// rangeBytes is how much of a bulk one call reads: small enough that several peers that read
+	// concurrently over a slow link still need only a fraction of callTimeout.
 	rangeBytes = 8 << 10
-	// maxReaders is how many peers may read bulks at once; the others ask elsewhere, or
-	// later.
+	// maxReaders is how many peers may read bulks concurrently; other peers read from another VM,
+	// or later.
 	maxReaders = 4
 	// readerIdle is how long after its last range a peer counts as a reader.
 	readerIdle = 400 * time.Millisecond
-	// bulkKept is for how long a bulk is kept that nobody asks for.
-	bulkKept = 3 * time.Second
-	// maxBulks bounds the bulks that are kept.
+	// bulkTTL is how long a bulk is retained after its last use.
+	bulkTTL = 3 * time.Second
+	// maxBulks bounds the bulks that are retained.
 	maxBulks = 8
 )
 
-// whole stands for the version that a whole list leads from.
-const whole = -1
+// fullList is the base version of a bulk that holds a full list instead of a change.
+const fullList = -1
 
-// bulkKey tells which change a bulk holds.
+// bulkKey identifies the change that a bulk holds.
 type bulkKey struct {
 	list     recency.List
 	from, to int64
@@ -49,27 +49,29 @@
 	used clock.Time
 }
 
-// bulks are lists too large for one reply. A peer reads them range by range: each fits
-// into the time of a call, and those that have arrived are kept if the next one is late.
-type bulks struct {
-	// encoding is held while a list is encoded: who asks for the same meanwhile finds it.
+// bulkCache holds the lists that are too large for one reply. A peer reads a list range by range:
+// each range fits into the time of one call, and the ranges that have arrived are kept if the next
+// one is late.
+type bulkCache struct {
+	// encoding is held while a list is encoded, so that concurrent requests for the same list find
+	// the bulk instead of encoding it again.
 	encoding sync.Mutex
 
 	mu      sync.Mutex
-	kept    map[uint64]*bulk
+	byID    map[uint64]*bulk
 	readers map[string]clock.Time
 }
 
-func newBulks() *bulks {
-	return &bulks{kept: make(map[uint64]*bulk), readers: make(map[string]clock.Time)}
+func newBulks() *bulkCache {
+	return &bulkCache{byID: make(map[uint64]*bulk), readers: make(map[string]clock.Time)}
 }
 
-// find returns the offer of a bulk that is kept; nil if there is none.
-func (b *bulks) find(key bulkKey, now clock.Time) *gossippb.Bulk {
+// find returns the offer of a retained bulk; nil if there is none.
+func (b *bulkCache) find(key bulkKey, now clock.Time) *gossippb.Bulk {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.forget(now)
-	for id, k := range b.kept {
+	b.expire(now)
+	for id, k := range b.byID {
 		if k.key == key {
 			k.used = now
 			return &gossippb.Bulk{Id: id, Size: uint64(len(k.data))}
@@ -78,23 +80,23 @@
 	return nil
 }
 
-// keep offers an encoded list.
-func (b *bulks) keep(key bulkKey, data []byte, now clock.Time) *gossippb.Bulk {
+// add retains an encoded list and returns the offer of it.
+func (b *bulkCache) add(key bulkKey, data []byte, now clock.Time) *gossippb.Bulk {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for len(b.kept) >= maxBulks {
-		b.drop()
+	for len(b.byID) >= maxBulks {
+		b.evict()
 	}
 	id := rand.Uint64()
-	b.kept[id] = &bulk{key: key, data: data, used: now}
+	b.byID[id] = &bulk{key: key, data: data, used: now}
 	return &gossippb.Bulk{Id: id, Size: uint64(len(data))}
 }
 
-// forget drops the bulks that nobody has asked for lately, and readers that are gone.
-func (b *bulks) forget(now clock.Time) {
-	for id, k := range b.kept {
-		if now.Sub(k.used) > bulkKept {
-			delete(b.kept, id)
+// expire drops the bulks that were not used within bulkTTL, and the readers that are idle.
+func (b *bulkCache) expire(now clock.Time) {
+	for id, k := range b.byID {
+		if now.Sub(k.used) > bulkTTL {
+			delete(b.byID, id)
 		}
 	}
 	for vm, at := range b.readers {
@@ -104,24 +106,24 @@
 	}
 }
 
-// drop drops the bulk that was asked for the longest time ago.
-func (b *bulks) drop() {
+// evict drops the least recently used bulk.
+func (b *bulkCache) evict() {
 	var oldest uint64
 	var at clock.Time
-	for id, k := range b.kept {
+	for id, k := range b.byID {
 		if oldest == 0 || k.used < at {
 			oldest, at = id, k.used
 		}
 	}
-	delete(b.kept, oldest)
+	delete(b.byID, oldest)
 }
 
-// read returns a range for a peer.
-func (b *bulks) read(vm string, id, offset uint64, now clock.Time) ([]byte, error) {
+// read returns the range of a bulk at an offset to a peer.
+func (b *bulkCache) read(vm string, id, offset uint64, now clock.Time) ([]byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.forget(now)
-	k := b.kept[id]
+	b.expire(now)
+	k := b.byID[id]
 	if k == nil {
 		return nil, twirp.NotFoundError("no such bulk")
 	}
@@ -147,9 +149,9 @@
 	return &gossippb.ReadReply{Data: data}, nil
 }
 
-// tellList adds one list to a reply, as build encodes it: within the reply if it is
-// small or the peer takes no bulks, and else as the offer of a bulk.
-func (s *Server) tellList(out *gossippb.PullReply, in *gossippb.PullRequest, key bulkKey, build func(*gossippb.PullReply)) error {
+// addList adds one list, as build encodes it, to a reply: inline if it is small or the peer does not
+// take bulks, and otherwise as the offer of a bulk.
+func (s *Server) addList(out *gossippb.PullReply, in *gossippb.PullRequest, key bulkKey, build func(*gossippb.PullReply)) error {
 	if !in.GetTakesBulks() {
 		build(out)
 		return nil
@@ -171,7 +173,7 @@
 	if err != nil {
 		return err
 	}
-	out.Bulks = append(out.Bulks, s.bulks.keep(key, data, now))
+	out.Bulks = append(out.Bulks, s.bulks.add(key, data, now))
 	return nil
 }
 
--- a/gossip/bulk_test.go
+++ b/gossip/bulk_test.go
@@ -22,18 +22,19 @@
 	"endivemoor.example/endivemoor/recency"
 )
 
-// thousands is what a VM with the configuration that the users plan for can tell.
-func thousands() Knowledge {
+// largeState is the state of a VM with a configuration of the size that the users plan for.
+func largeState() Knowledge {
 	h := catalog.NewHolder()
 	h.SetConfig(many(7, time.Second))
 	return Knowledge{Catalog: h.Load()}
 }
 
-// Guards against a reply that grows with the lists that it carries, so that it does not arrive over a slow link.
+// Failure guarded against: a reply grows with the lists that it carries, until it no longer arrives
+// over a slow link within the call's timeout.
 func TestLargeListIsReadRangeByRange(t *testing.T) {
-	known := thousands()
+	known := largeState()
 	var reads, lost atomic.Int32
-	h := NewHandler(&source{known: known}, nil, &manual{})
+	h := NewHandler(&source{known: known}, nil, &manualClock{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "/Read") && reads.Add(1)%5 == 0 {
 			lost.Add(1)
@@ -42,7 +43,7 @@
 		h.ServeHTTP(w, r)
 	}))
 	defer server.Close()
-	c, addr := NewClients((&net.Dialer{}).DialContext, &manual{}), strings.TrimPrefix(server.URL, "http://")
+	c, addr := NewClients((&net.Dialer{}).DialContext, &manualClock{}), strings.TrimPrefix(server.URL, "http://")
 	q := Question{Self: "me", Known: &catalog.Catalog{}}
 	n, err := c.Pull(context.Background(), addr, q)
 	require.NoError(t, err)
@@ -56,10 +57,11 @@
 	require.LessOrEqual(t, int(reads.Load()-lost.Load()), n.Bulks[0].Size()/rangeBytes+1, "no range that arrived was read again")
 }
 
-// Guards against a list that is encoded for each of hundreds of VMs, and kept for good.
-func TestBulkIsSharedAndForgotten(t *testing.T) {
-	clk := &manual{now: clock.Time(time.Hour)}
-	s := &Server{source: &source{known: thousands()}, clk: clk, bulks: newBulks()}
+// Failure guarded against: a list is encoded anew for each of hundreds of VMs, or retained without
+// bound.
+func TestBulkIsSharedAndExpires(t *testing.T) {
+	clk := &manualClock{now: clock.Time(time.Hour)}
+	s := &Server{source: &source{known: largeState()}, clk: clk, bulks: newBulks()}
 	pull := func() *gossippb.PullReply {
 		out, err := s.Pull(context.Background(), &gossippb.PullRequest{TakesBulks: true, TakesChanges: true})
 		require.NoError(t, err)
@@ -67,36 +69,37 @@
 		return out
 	}
 	first := pull().GetBulks()[0].GetId()
-	clk.now = clk.now.Add(bulkKept)
+	clk.now = clk.now.Add(bulkTTL)
 	require.Equal(t, first, pull().GetBulks()[0].GetId())
-	clk.now = clk.now.Add(bulkKept + 1)
+	clk.now = clk.now.Add(bulkTTL + 1)
 	require.NotEqual(t, first, pull().GetBulks()[0].GetId())
-	require.Len(t, s.bulks.kept, 1)
+	require.Len(t, s.bulks.byID, 1)
 	for i := range int64(3 * maxBulks) {
-		s.bulks.keep(bulkKey{recency.Config, i, i + 1}, nil, clk.now)
+		s.bulks.add(bulkKey{recency.Config, i, i + 1}, nil, clk.now)
 	}
-	require.Len(t, s.bulks.kept, maxBulks)
+	require.Len(t, s.bulks.byID, maxBulks)
 }
 
-// Guards against a list that is encoded once for each of those who ask at the same moment.
-func TestBulkIsEncodedOnceForAllWhoAskAtOnce(t *testing.T) {
-	s := &Server{source: &source{known: thousands()}, clk: &manual{now: clock.Time(time.Hour)}, bulks: newBulks()}
-	var asked sync.WaitGroup
+// Failure guarded against: a list is encoded once for each of several concurrent requests.
+func TestBulkIsEncodedOnceForConcurrentPulls(t *testing.T) {
+	s := &Server{source: &source{known: largeState()}, clk: &manualClock{now: clock.Time(time.Hour)}, bulks: newBulks()}
+	var requests sync.WaitGroup
 	for range 2 * maxBulks {
-		asked.Go(func() {
+		requests.Go(func() {
 			_, err := s.Pull(context.Background(), &gossippb.PullRequest{TakesBulks: true, TakesChanges: true})
 			require.NoError(t, err)
 		})
 	}
-	asked.Wait()
-	require.Len(t, s.bulks.kept, 1)
+	requests.Wait()
+	require.Len(t, s.bulks.byID, 1)
 }
 
-// Guards against a link that many read over at once, so that no range arrives in time.
-func TestFewReadAtOnce(t *testing.T) {
+// Failure guarded against: so many peers read concurrently over a link that no range arrives within
+// the call's timeout.
+func TestConcurrentReadersAreBounded(t *testing.T) {
 	now := clock.Time(time.Hour)
 	b := newBulks()
-	id := b.keep(bulkKey{recency.Config, 1, 2}, make([]byte, 2*rangeBytes), now).GetId()
+	id := b.add(bulkKey{recency.Config, 1, 2}, make([]byte, 2*rangeBytes), now).GetId()
 	read := func(vm string, offset uint64) error {
 		_, err := b.read(vm, id, offset, now)
 		return err
@@ -105,21 +108,21 @@
 		require.NoError(t, read(fmt.Sprint("vm", i), 0))
 	}
 	require.True(t, isRefused(read("late", 0)))
-	require.NoError(t, read("vm0", rangeBytes), "vm0 has read all")
+	require.NoError(t, read("vm0", rangeBytes), "vm0 has read the whole bulk")
 	require.NoError(t, read("late", 0))
 	require.True(t, isRefused(read("later", 0)))
 	now = now.Add(readerIdle + 1)
-	require.NoError(t, read("later", 0), "the others are gone")
+	require.NoError(t, read("later", 0), "the other readers have expired")
 	_, err := b.read("vm0", id+1, 0, now)
 	require.Equal(t, twirp.NotFound, err.(twirp.Error).Code())
 }
 
-// Guards against a VM of an earlier version that is offered what it cannot read.
-func TestWhoTakesNoBulksIsToldAll(t *testing.T) {
-	known := thousands()
-	s := &Server{source: &source{known: known}, clk: &manual{}, bulks: newBulks()}
+// Failure guarded against: a VM of an earlier version is offered a bulk that it cannot read.
+func TestPeerWithoutBulksGetsFullList(t *testing.T) {
+	known := largeState()
+	s := &Server{source: &source{known: known}, clk: &manualClock{}, bulks: newBulks()}
 	out, err := s.Pull(context.Background(), &gossippb.PullRequest{})
 	require.NoError(t, err)
 	require.Empty(t, out.GetBulks())
-	require.Equal(t, known.Catalog.Config, newsOf(out, &catalog.Catalog{}, 0).Config)
+	require.Equal(t, known.Catalog.Config, updateOf(out, &catalog.Catalog{}, 0).Config)
 }
--- a/gossip/client.go
+++ b/gossip/client.go
@@ -19,13 +19,14 @@
 )
 
 const (
-	// callTimeout bounds one call to a peer. Peers are at most a few
-	// milliseconds away; one that takes longer is asked again later.
+	// callTimeout bounds one call to a peer. Peers are at most a few milliseconds away; a peer that
+	// takes longer is called again later.
 	callTimeout = 250 * time.Millisecond
 	// maxIdle and idleTimeout bound the connections kept to peers.
 	maxIdle     = 1
 	idleTimeout = 20 * time.Second
-	// headerTimeout bounds a peer that opens a connection and says nothing.
+	// headerTimeout bounds how long a peer may take to send a request's header on an open
+	// connection.
 	headerTimeout = 5 * time.Second
 )
 
@@ -34,24 +35,24 @@
 	http *http.Client
 	clk  clock.Clock
 
-	mu sync.Mutex
-	at map[string]gossippb.Gossip
+	mu     sync.Mutex
+	byAddr map[string]gossippb.Gossip
 }
 
-// NewClients returns Clients that connect by dial.
+// NewClients returns Clients that connect with dial.
 func NewClients(dial func(ctx context.Context, network, addr string) (net.Conn, error), clk clock.Clock) *Clients {
 	transport := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: maxIdle, IdleConnTimeout: idleTimeout, DisableCompression: true}
-	return &Clients{http: &http.Client{Transport: terse.Transport{RoundTripper: transport}, Timeout: callTimeout}, clk: clk, at: make(map[string]gossippb.Gossip)}
+	return &Clients{http: &http.Client{Transport: terse.Transport{RoundTripper: transport}, Timeout: callTimeout}, clk: clk, byAddr: make(map[string]gossippb.Gossip)}
 }
 
-// Keep forgets the peers whose address is not among those given: a fleet
-// replaces hundreds of VMs a day.
+// Retain drops the clients of peers whose address is not in addrs: a fleet replaces hundreds of VMs
+// a day.
 func (c *Clients) Keep(addrs map[string]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for addr := range c.at {
+	for addr := range c.byAddr {
 		if !addrs[addr] {
-			delete(c.at, addr)
+			delete(c.byAddr, addr)
 		}
 	}
 }
@@ -59,15 +60,15 @@
 func (c *Clients) client(addr string) gossippb.Gossip {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.at[addr] == nil {
-		c.at[addr] = gossippb.NewGossipProtobufClient("http://"+addr, c.http)
+	if c.byAddr[addr] == nil {
+		c.byAddr[addr] = gossippb.NewGossipProtobufClient("http://"+addr, c.http)
 	}
-	return c.at[addr]
+	return c.byAddr[addr]
 }
 
-// News is what a peer told.
+// Update is what a peer sent in reply to a pull.
 type News struct {
-	// Proofs by service, with their moments on this VM's clock.
+	// Proofs by service, with their times on this VM's clock.
 	Proofs map[string]freshness.Proof
 	// Acknowledged are positions that new primaries must hold, by service.
 	Acknowledged map[string]timeline.Position
@@ -77,31 +78,31 @@
 	Targets *Targets
 	// Fleet is nil unless the peer has a later list.
 	Fleet *Fleet
-	// Diverged is set if the peer told what has changed in a list, and it does not
-	// fit: whole lists are to be asked for.
+	// Diverged is set if the peer sent a change of a list that does not apply to the list of this
+	// VM: the next pull must request full lists.
 	Diverged bool
-	// Silences are the peers, by address, that somebody could not reach lately, and when.
+	// Unreachable are the peers, by address, that some VM recently could not reach, and when.
 	Silences map[string]clock.Time
-	// Marks are the peer's evidence that its copies are up to date.
+	// Confirmations are the peer's evidence that its copies of the lists are up to date.
 	Marks map[recency.List]recency.Mark
-	// Bulks are lists that are too large to come along; Fetch reads them.
+	// Bulks are lists that are too large for the reply; Fetch reads them.
 	Bulks []Bulk
 }
 
-// Question is what a VM asks of a peer.
+// PullOptions are the parameters of a pull.
 type Question struct {
-	// Self is the VM's name.
+	// Self is the name of the VM that pulls.
 	Self string
-	// Known is its catalog: only what is news beyond it is told.
+	// Known is the catalog of that VM: the peer sends only what is newer.
 	Known *catalog.Catalog
 	// Selects limits the proofs to those of Services.
 	Selects  bool
 	Services []string
-	// Whole asks for whole lists instead of what has changed in them.
+	// FullLists requests full lists instead of changes.
 	Whole bool
 }
 
-// Pull asks a peer for what it knows beyond the catalog.
+// Pull requests from a peer what is newer than q.Known.
 func (c *Clients) Pull(ctx context.Context, addr string, q Question) (*News, error) {
 	known := q.Known
 	in := &gossippb.PullRequest{
@@ -113,5 +114,5 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "pull from %s", addr)
 	}
-	return newsOf(out, known, sent), nil
+	return updateOf(out, known, sent), nil
 }
--- a/gossip/convert.go
+++ b/gossip/convert.go
@@ -12,13 +12,13 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// Targets is a complete list at a revision of the store.
+// Targets is the complete list of targets at a revision of the store.
 type Targets struct {
 	Revision int64
 	Targets  map[target.ID]*catalog.Target
 }
 
-// Fleet is the fleet's list, and the records of its reigns, at a revision.
+// Fleet is the fleet's list with the leadership records, at a revision of the store.
 type Fleet struct {
 	Revision int64
 	VMs      []catalog.VM
@@ -43,8 +43,8 @@
 	return out
 }
 
-// ProofOf decodes what EvidenceOf has encoded, in an answer to a question that was
-// sent at the given moment.
+// ProofOf decodes what EvidenceOf has encoded, in the reply to a request that was sent at the given
+// time.
 func ProofOf(e *gossippb.Evidence, sent clock.Time) (p freshness.Proof, acknowledged timeline.Position) {
 	p = freshness.Proof{
 		Term: timeline.Term(e.GetTerm()), Leader: target.ID(e.GetLeader()), At: sent.Add(-microseconds(e.GetAgeUs())),
@@ -56,21 +56,21 @@
 	return p, position(e.GetAcknowledgedTerm(), e.GetAcknowledgedNumber())
 }
 
-// newsOf counts ages back from when the question was sent: the answer was given
-// later than that, so that every moment is at least as early as it truly was.
-// Changes are applied to what the question said to be known.
-func newsOf(in *gossippb.PullReply, known *catalog.Catalog, sent clock.Time) *News {
+// updateOf decodes a reply. It subtracts the ages in the reply from the time at which the request
+// was sent. The peer sent the reply later than that, so that no time is later than the true one.
+// Changes are applied to known, the catalog that the request announced.
+func updateOf(in *gossippb.PullReply, known *catalog.Catalog, sent clock.Time) *News {
 	n := &News{Proofs: make(map[string]freshness.Proof, len(in.GetEvidence())), Acknowledged: make(map[string]timeline.Position)}
 	for _, e := range in.GetEvidence() {
 		n.Proofs[e.GetService()], n.Acknowledged[e.GetService()] = ProofOf(e, sent)
 	}
 	for _, s := range in.GetSilences() {
-		n.noteSilence(s.GetPeer(), sent.Add(-microseconds(s.GetAgeUs())))
+		n.addUnreachable(s.GetPeer(), sent.Add(-microseconds(s.GetAgeUs())))
 	}
 	n.Bulks = bulksOf(in.GetBulks())
-	n.noteMark(recency.Config, in.GetConfigMark(), sent)
-	n.noteMark(recency.Targets, in.GetTargetsMark(), sent)
-	n.noteMark(recency.Fleet, in.GetFleetMark(), sent)
+	n.addConfirmation(recency.Config, in.GetConfigMark(), sent)
+	n.addConfirmation(recency.Targets, in.GetTargetsMark(), sent)
+	n.addConfirmation(recency.Fleet, in.GetFleetMark(), sent)
 	if in.GetConfig().GetTellsWorkspaces() {
 		n.Config = config(in.GetConfig())
 	}
@@ -78,29 +78,29 @@
 		n.Config = change(in.GetConfigChange()).Apply(known.Config)
 	}
 	if in.GetTargets() != nil {
-		n.takeTargets(in.GetTargets(), known)
+		n.setTargets(in.GetTargets(), known)
 	}
 	if in.GetFleet() != nil {
-		n.takeFleet(in.GetFleet(), known)
+		n.setFleet(in.GetFleet(), known)
 	}
 	return n
 }
 
-// tellMarks encodes the evidence for each list, with its age.
-func tellMarks(out *gossippb.PullReply, marks map[recency.List]recency.Mark, now clock.Time) {
-	out.ConfigMark = markOf(marks[recency.Config], now)
-	out.TargetsMark = markOf(marks[recency.Targets], now)
-	out.FleetMark = markOf(marks[recency.Fleet], now)
+// addConfirmations encodes the confirmation of each list, with its age.
+func addConfirmations(out *gossippb.PullReply, confirmations map[recency.List]recency.Mark, now clock.Time) {
+	out.ConfigMark = confirmationOf(confirmations[recency.Config], now)
+	out.TargetsMark = confirmationOf(confirmations[recency.Targets], now)
+	out.FleetMark = confirmationOf(confirmations[recency.Fleet], now)
 }
 
-func markOf(m recency.Mark, now clock.Time) *gossippb.Mark {
+func confirmationOf(m recency.Mark, now clock.Time) *gossippb.Mark {
 	if m.At == 0 {
 		return nil
 	}
 	return &gossippb.Mark{Version: m.Version, Revision: m.Revision, AgeUs: uint64(max(m.Age(now).Microseconds(), 0)) + 1}
 }
 
-func (n *News) noteMark(l recency.List, m *gossippb.Mark, sent clock.Time) {
+func (n *News) addConfirmation(l recency.List, m *gossippb.Mark, sent clock.Time) {
 	if m == nil {
 		return
 	}
@@ -110,16 +110,16 @@
 	n.Marks[l] = recency.Mark{Version: m.GetVersion(), Revision: m.GetRevision(), At: sent.Add(-microseconds(m.GetAgeUs()))}
 }
 
-func (n *News) noteSilence(peer string, at clock.Time) {
+func (n *News) addUnreachable(peer string, at clock.Time) {
 	if n.Silences == nil {
 		n.Silences = make(map[string]clock.Time)
 	}
 	n.Silences[peer] = at
 }
 
-// takeFleet takes the fleet's list, or applies what has changed. The records of
-// reigns count by their own revisions, whatever list they come with.
-func (n *News) takeFleet(in *gossippb.Fleet, known *catalog.Catalog) {
+// setFleet sets the fleet's list, or applies the change of it. The leadership records have
+// revisions of their own, whichever list they arrive with.
+func (n *News) setFleet(in *gossippb.Fleet, known *catalog.Catalog) {
 	n.Fleet = fleet(in)
 	if in.GetFrom() == 0 {
 		return
@@ -132,8 +132,8 @@
 	}
 }
 
-// takeTargets is takeFleet for the list of targets.
-func (n *News) takeTargets(in *gossippb.Targets, known *catalog.Catalog) {
+// setTargets is setFleet for the list of targets.
+func (n *News) setTargets(in *gossippb.Targets, known *catalog.Catalog) {
 	n.Targets = targets(in)
 	if in.GetFrom() == 0 {
 		return
@@ -233,7 +233,7 @@
 	return out
 }
 
-// targetsOf tells the whole list, or what has changed if that is given.
+// targetsOf encodes change, or the full list if change is nil.
 func targetsOf(c *catalog.Catalog, change *catalog.ListChange[catalog.Target]) *gossippb.Targets {
 	out := &gossippb.Targets{Revision: c.TargetsRevision}
 	if change == nil {
@@ -268,7 +268,8 @@
 	return out
 }
 
-// fleetOf tells the whole list, or what has changed if that is given.
+// fleetOf encodes change, or the full list if change is nil. It adds the leadership records that are
+// newer than the base revision.
 func fleetOf(c *catalog.Catalog, change *catalog.ListChange[catalog.VM]) *gossippb.Fleet {
 	out := &gossippb.Fleet{Revision: c.FleetRevision}
 	vms := c.VMs
@@ -281,13 +282,13 @@
 	}
 	for _, r := range c.Reigns {
 		if r.Revision > out.GetFrom() {
-			out.Reigns = append(out.Reigns, reignOf(r))
+			out.Reigns = append(out.Reigns, recordOf(r))
 		}
 	}
 	return out
 }
 
-func reignOf(r *catalog.Reign) *gossippb.Reign {
+func recordOf(r *catalog.Reign) *gossippb.Reign {
 	out := &gossippb.Reign{Service: r.Service, Revision: r.Revision, Primary: string(r.Primary), Holder: r.Holder, Era: r.Era}
 	if r.Attempt != nil {
 		out.AttemptNonce, out.AttemptDeposed = r.Attempt.Nonce, string(r.Attempt.Deposed)
@@ -301,11 +302,11 @@
 		out.VMs = append(out.VMs, catalog.VM{ID: vm.GetId(), Zone: vm.GetZone(), Peer: vm.GetPeer(), Incarnation: vm.GetIncarnation(), Capacity: vm.GetCapacity()})
 	}
 	for _, r := range in.GetReigns() {
-		reign := &catalog.Reign{Service: r.GetService(), Revision: r.GetRevision(), Primary: target.ID(r.GetPrimary()), Holder: r.GetHolder(), Era: r.GetEra()}
+		record := &catalog.Reign{Service: r.GetService(), Revision: r.GetRevision(), Primary: target.ID(r.GetPrimary()), Holder: r.GetHolder(), Era: r.GetEra()}
 		if r.GetAttemptNonce() != "" {
-			reign.Attempt = &catalog.Attempt{Holder: r.GetHolder(), Nonce: r.GetAttemptNonce(), Deposed: target.ID(r.GetAttemptDeposed())}
+			record.Attempt = &catalog.Attempt{Holder: r.GetHolder(), Nonce: r.GetAttemptNonce(), Deposed: target.ID(r.GetAttemptDeposed())}
 		}
-		out.Reigns[r.GetService()] = reign
+		out.Reigns[r.GetService()] = record
 	}
 	return out
 }
--- a/gossip/fetch.go
+++ b/gossip/fetch.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// rangeTries is how often a range is asked for before a bulk is given up.
+	// rangeTries is how often a range is requested before the read of the bulk fails.
 	rangeTries = 3
 	// rangePause is the pause between two tries.
 	rangePause = 50 * time.Millisecond
-	// maxBulkBytes bounds a bulk, compressed and not: more than the store keeps as one
-	// object, and than the lists of thousands of VMs take.
+	// maxBulkBytes bounds a bulk, both compressed and uncompressed: larger than the largest object
+	// of the store, and than the lists of thousands of VMs.
 	maxBulkBytes = 16 << 20
 )
 
@@ -31,7 +31,7 @@
 	size uint64
 }
 
-// Size is in bytes, as they come over the network.
+// Size returns the size in bytes on the network, that is, compressed.
 func (b Bulk) Size() int { return int(b.size) }
 
 func bulksOf(in []*gossippb.Bulk) []Bulk {
@@ -42,36 +42,36 @@
 	return out
 }
 
-// Fetch reads a bulk that the peer has offered in its answer to a question. A range that
-// does not arrive is asked for again; those before it are kept.
+// Fetch reads a bulk that the peer has offered in its reply to a pull. A range that does not arrive
+// is requested again; the ranges before it are kept.
 func (c *Clients) Fetch(ctx context.Context, addr string, q Question, b Bulk) (*News, error) {
 	if b.size > maxBulkBytes {
-		return nil, errors.Errorf("bulk of %s: %d bytes are too many", addr, b.size)
+		return nil, errors.Errorf("read bulk from %s: size of %d bytes exceeds the limit", addr, b.size)
 	}
 	sent := c.clk.Now()
 	data := make([]byte, 0, b.size)
 	for uint64(len(data)) < b.size {
 		part, err := c.readRange(ctx, addr, &gossippb.ReadRequest{Vm: q.Self, Id: b.id, Offset: uint64(len(data))})
 		if err != nil {
-			return nil, errors.Wrapf(err, "bulk of %s, at %d of %d bytes", addr, len(data), b.size)
+			return nil, errors.Wrapf(err, "read bulk from %s: at byte %d of %d", addr, len(data), b.size)
 		}
 		data = append(data, part...)
 	}
 	in, err := unpack(data)
 	if err != nil {
-		return nil, errors.Wrapf(err, "bulk of %s", addr)
+		return nil, errors.Wrapf(err, "read bulk from %s", addr)
 	}
-	return newsOf(in, q.Known, sent), nil
+	return updateOf(in, q.Known, sent), nil
 }
 
-// readRange reads one range, several times if need be.
+// readRange reads one range, and retries up to rangeTries times in all.
 func (c *Clients) readRange(ctx context.Context, addr string, in *gossippb.ReadRequest) ([]byte, error) {
 	var last error
 	for range rangeTries {
 		out, err := c.client(addr).Read(ctx, in)
 		switch {
 		case err == nil && len(out.GetData()) == 0:
-			return nil, errors.New("the range is empty")
+			return nil, errors.New("peer returned an empty range")
 		case err == nil:
 			return out.GetData(), nil
 		case isRefused(err):
@@ -85,7 +85,7 @@
 	return nil, last
 }
 
-// isRefused reports whether a peer has answered that it does not serve the range.
+// isRefused reports whether a peer has replied that it does not serve the range.
 func isRefused(err error) bool {
 	var refused twirp.Error
 	return errors.As(err, &refused) && (refused.Code() == twirp.NotFound || refused.Code() == twirp.ResourceExhausted)
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -21,10 +21,10 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// manual is a clock that only the test moves.
-type manual struct{ now clock.Time }
+// manualClock is a clock that only the test advances.
+type manualClock struct{ now clock.Time }
 
-func (m *manual) Now() clock.Time { return m.now }
+func (m *manualClock) Now() clock.Time { return m.now }
 
 type source struct {
 	known   Knowledge
@@ -57,9 +57,9 @@
 	return h.Load()
 }
 
-func TestPullBringsWhatIsNews(t *testing.T) {
+func TestPullReturnsOnlyNewerData(t *testing.T) {
 	known := full()
-	_, c, addr := start(t, Knowledge{Catalog: known}, &manual{}, &manual{})
+	_, c, addr := start(t, Knowledge{Catalog: known}, &manualClock{}, &manualClock{})
 	n, err := c.Pull(context.Background(), addr, Question{Self: "me", Known: &catalog.Catalog{}})
 	require.NoError(t, err)
 	require.Equal(t, known.Config, n.Config)
@@ -73,11 +73,11 @@
 	require.Nil(t, n.Fleet)
 }
 
-// Two VMs' clocks have nothing in common, and the answer may be long on its
-// way. A proof must never look younger than it is, or a read trusts it for too
-// long; so its age counts from the moment of the question.
-func TestProofIsNeverYoungerThanItIs(t *testing.T) {
-	theirs, ours := &manual{now: clock.Time(time.Hour)}, &manual{now: clock.Time(time.Minute)}
+// Failure guarded against: a proof appears more recent than it is, and a read trusts it for too
+// long. The clocks of two VMs are unrelated, and a reply may take long to arrive, so the age of a
+// proof counts from the time at which the request was sent.
+func TestProofIsNeverMoreRecentThanItIs(t *testing.T) {
+	theirs, ours := &manualClock{now: clock.Time(time.Hour)}, &manualClock{now: clock.Time(time.Minute)}
 	p := freshness.Proof{Term: 2, Leader: "a", At: theirs.now.Add(-300 * time.Millisecond), Position: timeline.Position{Term: 2, LSN: 7}}
 	_, c, addr := start(t, Knowledge{Catalog: full(), Proofs: map[string]freshness.Proof{"s": p}}, theirs, ours)
 	n, err := c.Pull(context.Background(), addr, Question{Self: "me", Known: full()})
@@ -89,28 +89,29 @@
 	require.Equal(t, p, got)
 }
 
-// Guards against evidence for a list that looks younger than it is, or is told of another list.
-func TestMarksAreToldByListAndNeverYounger(t *testing.T) {
-	theirs, ours := &manual{now: clock.Time(time.Hour)}, &manual{now: clock.Time(time.Minute)}
-	mark := recency.Mark{Version: 9, Revision: 40, At: theirs.now.Add(-2 * time.Second)}
-	_, c, addr := start(t, Knowledge{Catalog: full(), Marks: map[recency.List]recency.Mark{recency.Config: mark}}, theirs, ours)
+// Failure guarded against: a confirmation appears more recent than it is, or is applied to another
+// list.
+func TestConfirmationsArePerListAndNeverMoreRecent(t *testing.T) {
+	theirs, ours := &manualClock{now: clock.Time(time.Hour)}, &manualClock{now: clock.Time(time.Minute)}
+	confirmation := recency.Mark{Version: 9, Revision: 40, At: theirs.now.Add(-2 * time.Second)}
+	_, c, addr := start(t, Knowledge{Catalog: full(), Marks: map[recency.List]recency.Mark{recency.Config: confirmation}}, theirs, ours)
 	n, err := c.Pull(context.Background(), addr, Question{Self: "me", Known: full()})
 	require.NoError(t, err)
-	require.Len(t, n.Marks, 1, "nothing is told of lists without evidence")
+	require.Len(t, n.Marks, 1, "lists without a confirmation are left out")
 	got := n.Marks[recency.Config]
 	require.Equal(t, []int64{9, 40}, []int64{got.Version, got.Revision})
 	require.LessOrEqual(t, got.At, ours.now.Add(-2*time.Second))
 	require.Greater(t, got.At, ours.now.Add(-2001*time.Millisecond))
 }
 
-func TestRevokeAndSilence(t *testing.T) {
-	s, c, addr := start(t, Knowledge{Catalog: full()}, &manual{}, &manual{})
+func TestRevokeAndUnreachablePeer(t *testing.T) {
+	s, c, addr := start(t, Knowledge{Catalog: full()}, &manualClock{}, &manualClock{})
 	out := c.RevokeAll(context.Background(), []string{addr}, Revocation{Service: "s", Revision: 30, Deposed: "a"})
 	require.Empty(t, out.Unanswered)
 	require.Equal(t, timeline.Position{Term: 3, LSN: 9}, out.Acknowledged)
 	require.EqualValues(t, 30, s.revoked["s"])
 	c.Keep(map[string]bool{})
-	require.Empty(t, c.at)
+	require.Empty(t, c.byAddr)
 	_, err := c.Pull(context.Background(), "127.0.0.1:1", Question{Self: "me", Known: full()})
 	require.Error(t, err)
 }
@@ -129,15 +130,15 @@
 	return c
 }
 
-// An operator changes one route out of 2,900, as happens every 13 seconds. Every
-// VM learns of it from a peer; told the whole list each time, a VM takes 22 KB a
-// second for its configuration alone.
+// Failure guarded against: an operator changes one route out of 2,900, as happens every 13 seconds,
+// and each VM pulls the full configuration from a peer, which takes 22 KB a second per VM for the
+// configuration alone.
 func TestOneRouteCostsOneRoute(t *testing.T) {
 	h := catalog.NewHolder()
 	before, after := many(7, time.Second), many(8, 2*time.Second)
 	h.SetConfig(before)
 	h.SetConfig(after)
-	s := &Server{source: &source{known: Knowledge{Catalog: h.Load()}}, clk: &manual{}}
+	s := &Server{source: &source{known: Knowledge{Catalog: h.Load()}}, clk: &manualClock{}}
 	reply := func(in *gossippb.PullRequest) *gossippb.PullReply {
 		out, err := s.Pull(context.Background(), in)
 		require.NoError(t, err)
@@ -145,29 +146,29 @@
 	}
 	change := reply(&gossippb.PullRequest{ConfigVersion: 7, TakesChanges: true})
 	require.Less(t, proto.Size(change), 200)
-	require.Equal(t, after, newsOf(change, &catalog.Catalog{Config: before}, 0).Config)
-	whole := reply(&gossippb.PullRequest{ConfigVersion: 7})
-	require.Greater(t, proto.Size(whole), 200_000)
-	require.Equal(t, after, newsOf(whole, &catalog.Catalog{Config: before}, 0).Config)
+	require.Equal(t, after, updateOf(change, &catalog.Catalog{Config: before}, 0).Config)
+	full := reply(&gossippb.PullRequest{ConfigVersion: 7})
+	require.Greater(t, proto.Size(full), 200_000)
+	require.Equal(t, after, updateOf(full, &catalog.Catalog{Config: before}, 0).Config)
 	unknown := reply(&gossippb.PullRequest{ConfigVersion: 3, TakesChanges: true})
-	require.Equal(t, after, newsOf(unknown, &catalog.Catalog{Config: many(3, time.Second)}, 0).Config)
-	t.Logf("change %d B, whole %d B", proto.Size(change), proto.Size(whole))
+	require.Equal(t, after, updateOf(unknown, &catalog.Catalog{Config: many(3, time.Second)}, 0).Config)
+	t.Logf("change %d B, full %d B", proto.Size(change), proto.Size(full))
 }
 
-// A VM serves consumers of one service out of thousands. Told the proofs of all of
-// them ten times a second, it would take 1.4 MB a second.
-func TestProofsAreToldOfTheServicesAskedFor(t *testing.T) {
-	clk := &manual{now: clock.Time(time.Hour)}
+// Failure guarded against: a VM that serves consumers of one service out of thousands pulls the
+// proofs of all services ten times a second, which takes 1.4 MB a second.
+func TestPullReturnsProofsOfSelectedServices(t *testing.T) {
+	clk := &manualClock{now: clock.Time(time.Hour)}
 	proofs := map[string]freshness.Proof{"s": {Term: 1, At: clk.now}, "t": {Term: 1, At: clk.now}, "u": {Term: 1, At: clk.now}}
 	_, c, addr := start(t, Knowledge{Catalog: full(), Proofs: proofs}, clk, clk)
-	ask := func(selects bool, services ...string) map[string]freshness.Proof {
+	pull := func(selects bool, services ...string) map[string]freshness.Proof {
 		n, err := c.Pull(context.Background(), addr, Question{Self: "me", Known: full(), Selects: selects, Services: services})
 		require.NoError(t, err)
 		return n.Proofs
 	}
-	require.Len(t, ask(false), 3)
-	require.Empty(t, ask(true))
-	some := ask(true, "t", "v")
+	require.Len(t, pull(false), 3)
+	require.Empty(t, pull(true))
+	some := pull(true, "t", "v")
 	require.Len(t, some, 1)
 	require.Contains(t, some, "t")
 }
@@ -183,9 +184,9 @@
 	return out
 }
 
-// One VM out of 2,900 is replaced, as happens every two minutes, while a service's
-// leadership is recorded now and then. Told the whole list each time, a VM takes up
-// to 3 KB a second for it.
+// Failure guarded against: one VM out of 2,900 is replaced, as happens every two minutes, or a
+// leadership record changes, and each VM pulls the full list, which takes up to 3 KB a second per
+// VM.
 func TestOneVMCostsOneVM(t *testing.T) {
 	h := catalog.NewHolder()
 	h.SetFleet(manyVMs(), map[string]*catalog.Reign{"s": {Service: "s", Revision: 9}}, 10)
@@ -194,7 +195,7 @@
 	vms[7].Incarnation = "edge-0007-ffff"
 	h.SetFleet(vms, map[string]*catalog.Reign{"t": {Service: "t", Revision: 11}}, 11)
 	after := h.Load()
-	s := &Server{source: &source{known: Knowledge{Catalog: after}}, clk: &manual{}}
+	s := &Server{source: &source{known: Knowledge{Catalog: after}}, clk: &manualClock{}}
 	pull := func(in *gossippb.PullRequest) *gossippb.PullReply {
 		out, err := s.Pull(context.Background(), in)
 		require.NoError(t, err)
@@ -202,19 +203,19 @@
 	}
 	change := pull(&gossippb.PullRequest{FleetRevision: 10, TakesChanges: true})
 	require.Less(t, proto.Size(change), 200)
-	news := newsOf(change, before, 0)
-	require.Equal(t, after.VMs, news.Fleet.VMs)
-	require.Len(t, news.Fleet.Reigns, 1, "only the record that is news")
-	require.NotNil(t, news.Fleet.Reigns["t"])
-
-	strange := *before
-	strange.VMs = before.VMs[1:]
-	news = newsOf(change, &strange, 0)
-	require.Nil(t, news.Fleet)
-	require.True(t, news.Diverged)
-
-	whole := pull(&gossippb.PullRequest{FleetRevision: 10})
-	require.Greater(t, proto.Size(whole), 100_000)
-	require.Equal(t, after.VMs, newsOf(whole, &strange, 0).Fleet.VMs)
-	t.Logf("change %d B, whole %d B", proto.Size(change), proto.Size(whole))
+	update := updateOf(change, before, 0)
+	require.Equal(t, after.VMs, update.Fleet.VMs)
+	require.Len(t, update.Fleet.Reigns, 1, "only the newer record")
+	require.NotNil(t, update.Fleet.Reigns["t"])
+
+	other := *before
+	other.VMs = before.VMs[1:]
+	update = updateOf(change, &other, 0)
+	require.Nil(t, update.Fleet)
+	require.True(t, update.Diverged)
+
+	full := pull(&gossippb.PullRequest{FleetRevision: 10})
+	require.Greater(t, proto.Size(full), 100_000)
+	require.Equal(t, after.VMs, updateOf(full, &other, 0).Fleet.VMs)
+	t.Logf("change %d B, full %d B", proto.Size(change), proto.Size(full))
 }
--- a/gossip/revoke.go
+++ b/gossip/revoke.go
@@ -15,32 +15,33 @@
 )
 
 const (
-	// branchFrom is the number of peers from which some are asked through others.
-	// Below it the calls of one VM are few: 127 connections are some 4 MB.
+	// branchFrom is the number of peers from which revocations are forwarded by some of the peers.
+	// Below it one VM can afford to call every peer: 127 connections take some 4 MB.
 	branchFrom = 128
-	// maxBranch bounds what a VM asks for another: enough for a fleet of 65,000.
+	// maxBranch bounds the peers that one VM forwards to: enough for a fleet of 65,000.
 	maxBranch = 256
-	// leafTimeout bounds a call on another VM's behalf. It is below what that VM
-	// is given for all of them, or one silent peer would silence a whole branch.
+	// leafTimeout bounds a forwarded call. It is shorter than the timeout of the call that requests
+	// the forwarding; otherwise one unresponsive peer would make a whole branch unanswered.
 	leafTimeout = 150 * time.Millisecond
 )
 
-// Revocation ends permissions to take a primary for unchanged without asking.
+// Revocation ends the read permissions on a primary, which let a VM assume the primary unchanged
+// without a query.
 type Revocation struct {
 	Service string
-	// Revision is that of the attempt's record.
+	// Revision is the revision of the promotion attempt's record.
 	Revision int64
-	// Deposed is the primary that is to be replaced.
+	// Deposed is the primary being replaced.
 	Deposed target.ID
 }
 
-// Revoked is what came of a Revocation.
+// RevokeResult is the result of a Revocation.
 type Revoked struct {
-	// Acknowledged is the latest position that anybody who answered knows to be
-	// acknowledged: a new primary must hold it.
+	// Acknowledged is the latest position that any peer that replied has recorded as acknowledged:
+	// a new primary must hold it.
 	Acknowledged timeline.Position
-	// Unanswered are the peers, by address, that may still hold a permission, and
-	// why they are not known to have given it up.
+	// Unanswered are the peers, by address, that may still hold a permission, with the error that
+	// left it open whether they gave it up.
 	Unanswered map[string]error
 }
 
@@ -53,11 +54,12 @@
 	maps.Copy(r.Unanswered, o.Unanswered)
 }
 
-// RevokeAll asks all peers to give up their permissions.
+// RevokeAll requests all peers to give up their permissions.
 //
-// In a large fleet it asks some, each of which asks a branch of the others: calls by
-// one VM grow with the square root of the fleet. A peer counts as answered only if it
-// was itself asked and gave up its permission, whoever asked it.
+// In a large fleet it calls some of the peers, each of which forwards the revocation to a branch of
+// the others, so that the calls of one VM grow with the square root of the fleet. A peer counts as
+// answered only if it received the revocation itself, directly or forwarded, and gave up its
+// permission.
 func (c *Clients) RevokeAll(ctx context.Context, addrs []string, r Revocation) Revoked {
 	if len(addrs) < branchFrom {
 		return c.revokeEach(ctx, addrs, r)
@@ -65,7 +67,7 @@
 	return gather(branches(addrs), func(branch []string) Revoked { return c.revokeBranch(ctx, branch, r) })
 }
 
-// branches cuts a list into about as many parts as each part has entries.
+// branches splits a list into about as many branches as each branch has entries.
 func branches(addrs []string) [][]string {
 	size := min(int(math.Ceil(math.Sqrt(float64(len(addrs))))), maxBranch)
 	var out [][]string
@@ -76,11 +78,12 @@
 	return append(out, addrs)
 }
 
-// revokeBranch asks the first peer of a branch, and the others through it.
+// revokeBranch calls the first peer of a branch, which forwards the revocation to the others.
 //
-// Failure guarded against: a first peer that is dead, or of a version that does not
-// forward. The others would keep their permissions, and pass for asked. So what it
-// does not answer for is asked directly; what is not asked is not answered.
+// Failure guarded against: the first peer is dead, or of a version that does not forward, and the
+// others count as answered while they keep their permissions. So the caller calls the others
+// directly unless the first peer reports that it has forwarded to all of them, and a peer that was
+// not called does not count as answered.
 func (c *Clients) revokeBranch(ctx context.Context, branch []string, r Revocation) Revoked {
 	first, rest := branch[0], branch[1:]
 	out, forwarded, err := c.revoke(ctx, first, rest, r)
@@ -93,14 +96,14 @@
 	return out
 }
 
-// revokeLeaves asks peers on another VM's behalf.
+// revokeLeaves calls peers on another VM's behalf.
 func (c *Clients) revokeLeaves(ctx context.Context, addrs []string, r Revocation) Revoked {
 	ctx, cancel := context.WithTimeout(ctx, leafTimeout)
 	defer cancel()
 	return c.revokeEach(ctx, addrs, r)
 }
 
-// revokeEach asks each peer itself.
+// revokeEach calls each peer directly.
 func (c *Clients) revokeEach(ctx context.Context, addrs []string, r Revocation) Revoked {
 	return gather(addrs, func(addr string) Revoked {
 		out, _, err := c.revoke(ctx, addr, nil, r)
@@ -111,14 +114,14 @@
 	})
 }
 
-// gather asks for all items at once and joins what comes of it.
-func gather[T any](items []T, ask func(T) Revoked) Revoked {
+// gather calls revoke for all items concurrently and merges the results.
+func gather[T any](items []T, revoke func(T) Revoked) Revoked {
 	var mu sync.Mutex
 	all := Revoked{Unanswered: make(map[string]error)}
 	var wg sync.WaitGroup
 	for _, item := range items {
 		wg.Go(func() {
-			out := ask(item)
+			out := revoke(item)
 			mu.Lock()
 			defer mu.Unlock()
 			all.add(out)
@@ -128,7 +131,7 @@
 	return all
 }
 
-// revoke makes one call. It reports whether the peer has asked all the others.
+// revoke makes one call. It reports whether the peer has called all peers in forward.
 func (c *Clients) revoke(ctx context.Context, addr string, forward []string, r Revocation) (Revoked, bool, error) {
 	in := &gossippb.RevokeRequest{Service: r.Service, Revision: r.Revision, Deposed: string(r.Deposed), Forward: forward}
 	out, err := c.client(addr).Revoke(ctx, in)
@@ -137,7 +140,7 @@
 	}
 	revoked := Revoked{Acknowledged: position(out.GetAcknowledgedTerm(), out.GetAcknowledgedNumber()), Unanswered: make(map[string]error)}
 	for _, leaf := range out.GetUnanswered() {
-		revoked.Unanswered[leaf] = errors.Errorf("did not answer %s", addr)
+		revoked.Unanswered[leaf] = errors.Errorf("no reply to the revocation that %s forwarded", addr)
 	}
 	return revoked, int(out.GetForwarded()) == len(forward), nil
 }
--- a/gossip/server.go
+++ b/gossip/server.go
@@ -18,43 +18,43 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// Knowledge is what a VM can tell its peers.
+// LocalState is the state of a VM that peers can pull.
 type Knowledge struct {
-	// Catalog is what it knows of the platform.
+	// Catalog is the VM's current catalog.
 	Catalog *catalog.Catalog
-	// Proofs are its newest proofs of freshness, by service.
+	// Proofs are the VM's newest proofs of freshness, by service.
 	Proofs map[string]freshness.Proof
 	// Acknowledged are positions that new primaries must hold, by service.
 	Acknowledged map[string]timeline.Position
-	// Silences are the peers, by address, that could not be reached lately, and when.
+	// Unreachable are the peers, by address, that recently could not be reached, and when.
 	Silences map[string]clock.Time
-	// Marks are the evidence that its copies of the store's lists are up to date.
+	// Confirmations are the evidence that the VM's copies of the store's lists are up to date.
 	Marks map[recency.List]recency.Mark
 }
 
-// Source tells what this VM knows, and takes revocations.
+// Source provides this VM's state, and takes revocations.
 type Source interface {
-	// Know returns what this VM knows now.
+	// State returns this VM's current state.
 	Know() Knowledge
-	// Revoke ends this VM's permission for a service, and returns the position
-	// that the new primary must hold.
+	// Revoke ends this VM's permission for a service, and returns the position that the new primary
+	// must hold.
 	Revoke(service string, revision int64, deposed target.ID) timeline.Position
 }
 
-// Server answers peers.
+// Server answers the calls of peers.
 type Server struct {
 	source  Source
 	clients *Clients
 	clk     clock.Clock
-	bulks   *bulks
+	bulks   *bulkCache
 }
 
-// NewHandler returns the HTTP face of a Server, which asks others by clients.
+// NewHandler returns the HTTP handler of a Server, which forwards revocations with clients.
 func NewHandler(source Source, clients *Clients, clk clock.Clock) http.Handler {
 	return terse.Handler(gossippb.NewGossipServer(&Server{source: source, clients: clients, clk: clk, bulks: newBulks()}))
 }
 
-// NewHTTPServer returns the server that peers call.
+// NewHTTPServer returns the HTTP server for the calls of peers.
 func NewHTTPServer(h http.Handler) *http.Server {
 	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
 }
@@ -73,35 +73,35 @@
 	for addr, at := range k.Silences {
 		out.Silences = append(out.Silences, &gossippb.Silence{Peer: addr, AgeUs: uint64(max(now.Sub(at).Microseconds(), 0))})
 	}
-	tellMarks(out, k.Marks, now)
-	return out, s.tellLists(out, in, k.Catalog)
+	addConfirmations(out, k.Marks, now)
+	return out, s.addLists(out, in, k.Catalog)
 }
 
-// tellLists tells of each list that is later than the peer's what has changed, or all
-// of it.
-func (s *Server) tellLists(out *gossippb.PullReply, in *gossippb.PullRequest, c *catalog.Catalog) error {
-	tell := func(l recency.List, from, to int64, build func(*gossippb.PullReply)) error {
+// addLists adds each list that is newer than the peer's to a reply: what has changed in it, or the
+// full list.
+func (s *Server) addLists(out *gossippb.PullReply, in *gossippb.PullRequest, c *catalog.Catalog) error {
+	add := func(l recency.List, from, to int64, build func(*gossippb.PullReply)) error {
 		if to <= from {
 			return nil
 		}
 		if !in.GetTakesChanges() {
-			from = whole
+			from = fullList
 		}
-		return s.tellList(out, in, bulkKey{l, from, to}, build)
+		return s.addList(out, in, bulkKey{l, from, to}, build)
 	}
-	err := tell(recency.Config, in.GetConfigVersion(), c.ConfigVersion(), func(out *gossippb.PullReply) { tellConfig(out, c, in) })
+	err := add(recency.Config, in.GetConfigVersion(), c.ConfigVersion(), func(out *gossippb.PullReply) { addConfig(out, c, in) })
 	if err != nil {
 		return err
 	}
-	err = tell(recency.Targets, in.GetTargetsRevision(), c.TargetsRevision, func(out *gossippb.PullReply) { tellTargets(out, c, in) })
+	err = add(recency.Targets, in.GetTargetsRevision(), c.TargetsRevision, func(out *gossippb.PullReply) { addTargets(out, c, in) })
 	if err != nil {
 		return err
 	}
-	return tell(recency.Fleet, in.GetFleetRevision(), c.FleetRevision, func(out *gossippb.PullReply) { tellFleet(out, c, in) })
+	return add(recency.Fleet, in.GetFleetRevision(), c.FleetRevision, func(out *gossippb.PullReply) { addFleet(out, c, in) })
 }
 
-// tellConfig tells what leads to the present configuration, or all of it.
-func tellConfig(out *gossippb.PullReply, c *catalog.Catalog, in *gossippb.PullRequest) {
+// addConfig adds the change that leads to the current configuration, or the full configuration.
+func addConfig(out *gossippb.PullReply, c *catalog.Catalog, in *gossippb.PullRequest) {
 	if in.GetTakesChanges() {
 		if change := c.ConfigSince(in.GetConfigVersion()); change != nil {
 			out.ConfigChange = changeOf(change)
@@ -111,8 +111,8 @@
 	out.Config = configOf(c.Config)
 }
 
-// tellTargets tells what has changed in the list of targets, or all of it.
-func tellTargets(out *gossippb.PullReply, c *catalog.Catalog, in *gossippb.PullRequest) {
+// addTargets adds the change of the list of targets, or the full list.
+func addTargets(out *gossippb.PullReply, c *catalog.Catalog, in *gossippb.PullRequest) {
 	var change *catalog.ListChange[catalog.Target]
 	if in.GetTakesChanges() {
 		change = c.TargetsSince(in.GetTargetsRevision())
@@ -120,8 +120,8 @@
 	out.Targets = targetsOf(c, change)
 }
 
-// tellFleet tells what has changed in the fleet's list, or all of it.
-func tellFleet(out *gossippb.PullReply, c *catalog.Catalog, in *gossippb.PullRequest) {
+// addFleet adds the change of the fleet's list, or the full list.
+func addFleet(out *gossippb.PullReply, c *catalog.Catalog, in *gossippb.PullRequest) {
 	var change *catalog.ListChange[catalog.VM]
 	if in.GetTakesChanges() {
 		change = c.FleetSince(in.GetFleetRevision())
