--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,39 +1,37 @@
-// Package membership keeps a VM's belief of which VMs are live.
+// Package membership determines which VMs of the fleet a VM considers live. Begin with Machine. The
+// package sends nothing itself and does not decide which VM does which work.
 //
-// There are two kinds of evidence, and neither is enough. The platform's list
-// lags: a VM on it may be gone, a new one may be missing, and during an outage
-// it stands still. Peers' evidence is quick, but a VM that is cut off gets no
-// answer from anybody and must not conclude that everybody else died. Work is
-// moved by both:
+// There are two kinds of evidence, and neither is sufficient. The platform's list lags: a VM on it
+// may be dead, a new one may be missing, and the list does not change during an outage. Peers'
+// evidence is fast, but a VM that is partitioned gets no reply from any peer and must not conclude
+// that all others died. Work moves according to both:
 //
-//	on the list     peers' evidence             believed
-//	yes             none, or heard              live
-//	yes             suspected                   live for DeadAfter, then gone
-//	never yet       heard                       live: new, or the list lags
-//	never yet       suspected                   gone
-//	no longer       heard within SuspectAfter   live
-//	no longer       otherwise                   gone
-//	leaving         any                         gone: it gives its work away
+//	on the list     peers' evidence             considered
+//	yes             none, or contact            live
+//	yes             suspected                   live for DeadAfter, then dead
+//	never yet       contact                     live: new, or the list lags
+//	never yet       suspected                   dead
+//	no longer       contact in SuspectAfter     live
+//	no longer       otherwise                   dead
+//	leaving         any                         not live: its work moves to others
 //
 // # Suspicion
 //
-// Each Interval a VM exchanges Records with Fanout partners drawn at random,
-// the first in its own availability zone, the others elsewhere; so every VM is
-// spoken to several times a second by somebody, whatever the fleet's size. A VM
-// that leaves three exchanges in a row unanswered is suspected. The suspicion is
-// news: it is passed on in a bounded number of exchanges that grows with the
-// logarithm of the fleet, and so is what refutes it, a later instant at which
-// somebody heard the VM. Without news an exchange carries next to nothing: what
-// a VM sends does not grow with the fleet.
+// Each Interval a VM exchanges Records with Fanout partners drawn at random, the first in its own
+// availability zone, the others in other zones; so every VM is contacted several times a second,
+// whatever the size of the fleet. A VM that leaves three consecutive exchanges unanswered is
+// suspected. The suspicion is a pending update: it is passed on in a bounded number of exchanges
+// that grows with the logarithm of the fleet's size, and so is its refutation, a later contact of
+// some VM with the suspected one. Without pending updates an exchange carries at most one record of
+// another VM: the amount that a VM sends does not grow with the fleet.
 //
-// If a VM got no answer for SuspectAfter, or suspects more than two thirds of
-// the listed VMs, it takes itself for cut off and moves nothing. Terms and the
-// lease keep that safe; this keeps it quiet. A VM that was gone must be free of
-// suspicion for SettleFor before it is live again, so that one that flaps does
-// not drag work to and fro.
+// A VM that got no reply for SuspectAfter, or that suspects more than two thirds of the listed VMs,
+// considers itself partitioned and moves no work. Terms and the lease ensure safety in that case;
+// this rule avoids needless moves. A VM that was dead must be free of suspicion for SettleFor before
+// it is live again, so that a flapping VM does not move work back and forth.
 //
-// Ages travel, never instants, because two VMs' clocks do not compare.
+// Records carry ages and never instants, because the clocks of two VMs are not comparable.
 //
-// The Machine is pure: the driver passes events and time, carries out the
-// actions and reads Live.
+// The Machine is pure: the driver passes events and the time, carries out the actions and reads
+// Live.
 package membership
--- a/membership/machine.go
+++ b/membership/machine.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// isolatedShare: with fewer than a third of the listed VMs free of
-	// suspicion, this VM is the one that is cut off.
+	// isolatedShare: if fewer than one in isolatedShare of the listed VMs are free of suspicion,
+	// this VM considers itself partitioned.
 	isolatedShare = 3
-	// suspectAfterFailed exchanges in a row a VM is suspected. With one in ten
-	// lost, two in a row still made so much news in a fleet of hundreds that
-	// refutations did not get through in time.
+	// suspectAfterFailed is the number of consecutive unanswered exchanges after which a VM is
+	// suspected. With a limit of two and one exchange in ten lost, a fleet of hundreds has so many
+	// pending updates that refutations do not spread in time.
 	suspectAfterFailed = 3
-	// spread times the logarithm of the fleet is how often news is passed on.
-	spread = 3
-	// forgetFactor times UnlistedFor after its last sign a VM that is not
-	// listed is forgotten: no peer tells of it any more.
-	forgetFactor = 2
+	// spreadFactor times the logarithm of the fleet's size is how often an update is passed on.
+	spreadFactor = 3
+	// removeFactor times UnlistedFor after the last evidence of it, a VM that is not listed is
+	// dropped: no peer sends records of it by then.
+	removeFactor = 2
 )
 
-// Machine holds one VM's belief. It is not safe for concurrent use.
+// Machine is one VM's view of the fleet. It is not safe for concurrent use.
 type Machine struct {
 	cfg     Config
 	self    VM
@@ -34,17 +34,18 @@
 	members []*member // sorted by id
 	live    []VM
 	listed  int
-	// answered is the instant of the last exchange with anybody.
+	// answered is the instant of the last exchange with any peer.
 	answered clock.Time
 	started  bool
-	// dirty is set when a belief may have changed.
+	// dirty is set when Live may have changed.
 	dirty    bool
 	partners partners
-	// again are VMs that left one exchange unanswered and are tried at once.
-	again []VM
+	// retry are VMs with unanswered exchanges that are not suspected yet, to be tried again in the
+	// next round.
+	retry []VM
 }
 
-// New returns a Machine that knows only itself.
+// New returns a Machine that has only self as a member.
 func New(cfg Config, self VM) *Machine {
 	cfg = cfg.withDefaults()
 	return &Machine{
@@ -56,8 +57,8 @@
 	}
 }
 
-// Live returns the VMs believed to be live, sorted by id. It always has this VM
-// unless that is leaving. The slice is replaced, never changed.
+// Live returns the VMs that are considered live, sorted by id. It always has this VM, unless this VM
+// is leaving. The slice is replaced, never modified.
 func (m *Machine) Live() []VM { return m.live }
 
 // Self returns this VM's own record.
@@ -65,9 +66,9 @@
 	return Record{VM: m.self, Incarnation: m.cfg.Incarnation, Leaving: m.leaving}
 }
 
-// Step takes an event at now and returns what is to be done. The receiver of
-// an exchange steps Exchanged before it takes its answer from Records, so that
-// the answer refutes a suspicion that the sender should not have.
+// Step processes an event at now and returns the actions to carry out. The receiver of an exchange
+// must step Exchanged before it takes its reply from Records, so that the reply refutes a wrong
+// suspicion of the sender.
 func (m *Machine) Step(now clock.Time, ev Event) []Action {
 	if !m.started {
 		m.started, m.answered = true, now
@@ -92,20 +93,20 @@
 	return out
 }
 
-// Records returns what to tell a partner: news first, then one VM heard lately.
+// Records returns the records to send to a partner: pending updates first, then one member at random.
 func (m *Machine) Records(now clock.Time) []Record {
 	var out []Record
 	n := len(m.members)
 	from := m.rnd.IntN(max(n, 1))
 	for i := range n {
 		x := m.members[(from+i)%n]
-		if x.news == 0 {
+		if x.pending == 0 {
 			continue
 		}
 		if len(out) == m.cfg.MaxRecords {
 			break
 		}
-		x.news--
+		x.pending--
 		if r, ok := x.record(now, m.cfg.SuspectAfter); ok {
 			out = append(out, r)
 		}
@@ -113,7 +114,7 @@
 	return m.addAny(now, out)
 }
 
-// addAny adds one VM at random. It mends what news did not reach.
+// addAny adds one member at random. It repairs the view of peers that an update did not reach.
 func (m *Machine) addAny(now clock.Time, out []Record) []Record {
 	if len(m.members) == 0 || len(out) == m.cfg.MaxRecords {
 		return out
@@ -144,22 +145,22 @@
 func (m *Machine) exchanged(now clock.Time, e Exchanged) {
 	m.answered = now
 	e.From.HeardAge = 0
-	m.learn(now, e.From)
+	m.merge(now, e.From)
 	if x := m.byID[e.From.VM.ID]; x != nil {
 		x.failed = 0
 	}
 	for _, r := range e.Others {
-		m.learn(now, r)
+		m.merge(now, r)
 	}
 }
 
-// learn takes a record if it says something newer.
+// merge merges a record if it is newer.
 //
-// Failure guarded against: an old word of a VM's former incarnation, still on
-// its way around, makes a restarted VM leave or a dead one live. It shows as
-// work that flaps after a restart. A lower incarnation is ignored, and a
-// higher one replaces all that was known.
-func (m *Machine) learn(now clock.Time, r Record) {
+// Failure guarded against: a record of a VM's former incarnation still circulates, and marks the
+// restarted VM as leaving or a dead VM as live, so that work moves back and forth after a restart. A
+// record of a lower incarnation is ignored, and one of a higher incarnation replaces the former
+// state.
+func (m *Machine) merge(now clock.Time, r Record) {
 	if r.VM.ID == m.self.ID || r.VM.ID == "" {
 		return
 	}
@@ -169,35 +170,35 @@
 	}
 	if r.Incarnation > x.incarnation {
 		x.incarnation, x.vm = r.Incarnation, r.VM
-		x.leaving, x.suspect = false, false
-		m.tell(x)
+		x.leaving, x.suspected = false, false
+		m.markPending(x)
 	}
 	if r.Leaving && !x.leaving {
 		x.leaving = true
-		m.tell(x)
+		m.markPending(x)
 	}
-	m.weigh(now, x, r)
+	m.recordEvidence(now, x, r)
 }
 
-// weigh takes the record's evidence for or against the VM.
-func (m *Machine) weigh(now clock.Time, x *member, r Record) {
+// recordEvidence merges the record's evidence that the VM is live or unreachable.
+func (m *Machine) recordEvidence(now clock.Time, x *member, r Record) {
 	if r.HeardAge < m.cfg.SuspectAfter {
-		unknown := !x.known && !x.listed
-		if x.hear(now.Add(-max(r.HeardAge, 0))) || unknown {
-			m.tell(x)
+		unknown := !x.contacted && !x.listed
+		if x.recordContact(now.Add(-max(r.HeardAge, 0))) || unknown {
+			m.markPending(x)
 		}
 		return
 	}
 	began := now.Add(m.cfg.SuspectAfter - r.HeardAge)
-	if x.suspectSince(began) || !x.suspect {
-		// A new suspicion, or one that what is known here refutes.
-		m.tell(x)
+	if x.recordSuspicion(began) || !x.suspected {
+		// A new suspicion, or one that a later contact refutes.
+		m.markPending(x)
 	}
 }
 
-// tell makes the VM's record news.
-func (m *Machine) tell(x *member) {
-	x.news = spread * bits.Len(uint(len(m.members)))
+// markPending makes the VM's record a pending update.
+func (m *Machine) markPending(x *member) {
+	x.pending = spreadFactor * bits.Len(uint(len(m.members)))
 	m.dirty = true
 }
 
@@ -208,11 +209,11 @@
 	}
 	x.failed++
 	if x.failed < suspectAfterFailed {
-		m.again = append(m.again, x.vm)
+		m.retry = append(m.retry, x.vm)
 		return
 	}
-	if !m.isolated(now) && x.suspectSince(now) {
-		m.tell(x)
+	if !m.isolated(now) && x.recordSuspicion(now) {
+		m.markPending(x)
 	}
 }
 
@@ -220,7 +221,7 @@
 	if x := m.byID[vm.ID]; x != nil {
 		return x
 	}
-	x := &member{vm: vm, seen: now}
+	x := &member{vm: vm, firstSeen: now}
 	m.byID[vm.ID] = x
 	i, _ := slices.BinarySearchFunc(m.members, vm.ID, compareID)
 	m.members = slices.Insert(m.members, i, x)
@@ -230,14 +231,14 @@
 
 func compareID(x *member, id string) int { return cmp.Compare(x.vm.ID, id) }
 
-// refresh works out Live and reports whether it changed.
+// refresh recomputes Live and reports whether it changed.
 func (m *Machine) refresh(now clock.Time) bool {
 	m.dirty = false
 	isolated := m.isolated(now)
 	for _, x := range m.members {
-		x.live = x.believe(now, &m.cfg, isolated)
+		x.live = x.evaluate(now, &m.cfg, isolated)
 	}
-	m.members = slices.DeleteFunc(m.members, func(x *member) bool { return m.forget(now, x) })
+	m.members = slices.DeleteFunc(m.members, func(x *member) bool { return m.remove(now, x) })
 	m.partners.sort(m.members, m.self.Zone)
 	next := make([]VM, 0, len(m.live)+1)
 	for _, x := range m.members {
@@ -256,11 +257,11 @@
 	return true
 }
 
-// isolated reports whether this VM is the one that is cut off.
+// isolated reports whether this VM considers itself partitioned.
 //
-// Failure guarded against: a VM or an availability zone without network takes
-// the whole fleet for dead and claims all its work. It shows as a storm of
-// takeovers when the cut heals. Who hears nobody, or suspects most, waits.
+// Failure guarded against: a VM or an availability zone loses its network, considers the whole fleet
+// dead and takes over all its work, which causes a burst of takeovers when the partition heals. So a
+// VM that gets no replies, or suspects most of the others, moves no work.
 func (m *Machine) isolated(now clock.Time) bool {
 	if m.listed == 0 {
 		return false
@@ -268,17 +269,17 @@
 	if now.Sub(m.answered) > m.cfg.SuspectAfter {
 		return true
 	}
-	clear := 0
+	unsuspected := 0
 	for _, x := range m.members {
-		if x.listed && !x.suspect {
-			clear++
+		if x.listed && !x.suspected {
+			unsuspected++
 		}
 	}
-	return clear*isolatedShare < m.listed
+	return unsuspected*isolatedShare < m.listed
 }
 
-func (m *Machine) forget(now clock.Time, x *member) bool {
-	if x.listed || now.Sub(x.lastSign()) <= forgetFactor*m.cfg.UnlistedFor {
+func (m *Machine) remove(now clock.Time, x *member) bool {
+	if x.listed || now.Sub(x.lastEvidence()) <= removeFactor*m.cfg.UnlistedFor {
 		return false
 	}
 	delete(m.byID, x.vm.ID)
--- a/membership/machine_test.go
+++ b/membership/machine_test.go
@@ -28,7 +28,7 @@
 	return e
 }
 
-func hello(i int) Exchanged { return Exchanged{From: Record{VM: vm(i), Incarnation: 1}} }
+func contactWith(i int) Exchanged { return Exchanged{From: Record{VM: vm(i), Incarnation: 1}} }
 
 func ids(vms []VM) []string {
 	var out []string
@@ -40,8 +40,8 @@
 
 func newMachine(self int) *Machine { return New(Config{Incarnation: 1, Seed: 7}, vm(self)) }
 
-// run ticks from one instant to another. The VMs in up answer exchanges, the
-// others leave them unanswered.
+// run ticks from one instant to another. The VMs in up answer exchanges; exchanges with the others
+// are unanswered.
 func run(m *Machine, from, to clock.Time, up ...int) {
 	for now := from; now < to; now += tick {
 		for _, a := range m.Step(now, Tick{}) {
@@ -54,24 +54,23 @@
 				m.Step(now, Unanswered{ID: e.With.ID})
 				continue
 			}
-			m.Step(now, hello(up[i]))
+			m.Step(now, contactWith(up[i]))
 		}
 	}
 }
 
 const second = clock.Time(time.Second)
 
-func TestHeardVMIsLiveBeforeThePlatformListsIt(t *testing.T) {
+func TestContactedVMIsLiveBeforeThePlatformListsIt(t *testing.T) {
 	m := newMachine(0)
 	m.Step(1, listOf(1))
-	m.Step(2, hello(2))
+	m.Step(2, contactWith(2))
 	require.Equal(t, []string{"vm-0000", "vm-0001", "vm-0002"}, ids(m.Live()))
 }
 
-// A VM dies at night and the platform goes on listing it for minutes. Its
-// groups would have no owner until the list catches up; its silence towards
-// all peers moves them within seconds.
-func TestSilentVMIsGoneThoughStillListed(t *testing.T) {
+// Failure guarded against: a VM dies, the platform lists it for minutes more, and its groups have no
+// owner until the list is up to date. Unanswered exchanges with all peers move them within seconds.
+func TestUnresponsiveVMIsDeadThoughListed(t *testing.T) {
 	m := newMachine(0)
 	m.Step(1, listOf(1, 2, 3))
 	run(m, 1, 5*second, 1, 2, 3)
@@ -79,8 +78,8 @@
 	require.Equal(t, []string{"vm-0000", "vm-0001", "vm-0002"}, ids(m.Live()))
 }
 
-// This VM's own network is cut. It hears nobody and would take over the whole
-// fleet's work. It must see that it is the odd one out and move nothing.
+// Failure guarded against: this VM loses its network, gets no reply from any peer, and takes over
+// the work of the whole fleet.
 func TestIsolatedVMMovesNothing(t *testing.T) {
 	m := newMachine(0)
 	m.Step(1, listOf(1, 2, 3))
@@ -90,24 +89,24 @@
 	require.Equal(t, before, ids(m.Live()))
 }
 
-// A VM restarts every few seconds. Without a settling time each return would
-// pull its share of the groups back and drop it again.
+// Failure guarded against: a VM restarts every few seconds, and without a settling time each restart
+// moves its share of the groups to it and away again.
 func TestReturningVMMustSettle(t *testing.T) {
 	m := newMachine(0)
 	m.Step(1, listOf(1, 2, 3))
 	run(m, 1, 5*second, 1, 2, 3)
 	run(m, 5*second, 15*second, 1, 2)
 	require.NotContains(t, ids(m.Live()), "vm-0003")
-	m.Step(15*second, hello(3))
+	m.Step(15*second, contactWith(3))
 	m.Step(16*second, Tick{})
 	require.NotContains(t, ids(m.Live()), "vm-0003")
 	m.Step(17*second, Tick{})
 	require.Contains(t, ids(m.Live()), "vm-0003")
 }
 
-// One VM cannot reach another, but everybody else can. Its suspicion travels,
-// and so does the later word of those who heard the VM: nobody drops it.
-func TestSuspicionIsRefutedByALaterWord(t *testing.T) {
+// One VM cannot reach another VM, but all others can. Its suspicion spreads, and so do the later
+// contacts of the others, so that the VM stays live.
+func TestSuspicionIsRefutedByALaterContact(t *testing.T) {
 	m := newMachine(0)
 	m.Step(1, listOf(1, 2, 3))
 	run(m, 1, 2*second, 1, 2, 3)
@@ -120,20 +119,20 @@
 	require.Contains(t, ids(m.Live()), "vm-0003")
 }
 
-// The platform takes a VM off its list and nobody hears it: it is gone at once,
-// without the wait for a listed one.
-func TestVMThatLeftTheListIsGoneUnlessHeard(t *testing.T) {
+// The platform removes a VM from its list and no peer has contact with it: it is dead within
+// SuspectAfter, without the wait of DeadAfter for a listed VM.
+func TestUnlistedVMIsDeadWithoutContact(t *testing.T) {
 	m := newMachine(0)
 	m.Step(1, listOf(1, 2))
-	m.Step(2, hello(1))
+	m.Step(2, contactWith(1))
 	m.Step(second, listOf())
 	require.Equal(t, []string{"vm-0000", "vm-0001"}, ids(m.Live()))
 	m.Step(3*second, Tick{})
 	require.Equal(t, []string{"vm-0000"}, ids(m.Live()))
 }
 
-// A VM drained, ended and was started again. A record of its former life is
-// still on its way around and says "leaving": it must not end the new one.
+// Failure guarded against: a VM drains, ends and starts again, and a record of its former
+// incarnation that still circulates marks the new one as leaving.
 func TestRecordOfAFormerIncarnationIsIgnored(t *testing.T) {
 	m := newMachine(0)
 	m.Step(1, listOf(1))
@@ -168,16 +167,16 @@
 	}
 }
 
-func TestMachineForgetsWhatNobodySpeaksOf(t *testing.T) {
+func TestMachineRemovesMembersWithoutEvidence(t *testing.T) {
 	m := newMachine(0)
 	for i := 1; i < 2000; i++ {
-		m.Step(clock.Time(i)*second, hello(i))
+		m.Step(clock.Time(i)*second, contactWith(i))
 	}
 	require.Less(t, len(m.members), 300)
 	require.Len(t, m.byID, len(m.members))
 }
 
-// fleet exchanges records between Machines without loss, in rounds.
+// fleet exchanges records between Machines in rounds, without loss.
 type fleet struct {
 	machines map[string]*Machine
 	order    []string
--- a/membership/member.go
+++ b/membership/member.go
@@ -6,69 +6,68 @@
 	"endivemoor.example/endivemoor/clock"
 )
 
-// member is what a Machine knows of one VM.
+// member is the state of one VM in a Machine.
 type member struct {
 	vm          VM
 	incarnation uint64
-	// heard is the latest instant at which anybody heard the VM; valid if known.
-	heard clock.Time
-	known bool
-	// suspect is set while exchanges go unanswered, since the instant since.
-	suspect bool
-	since   clock.Time
-	// failed counts this VM's own unanswered exchanges in a row.
+	// lastContact is the latest instant of a contact of any VM with this one; valid if contacted.
+	lastContact clock.Time
+	contacted   bool
+	// suspected is set while exchanges with the VM are unanswered, since suspectedSince.
+	suspected      bool
+	suspectedSince clock.Time
+	// failed counts the consecutive unanswered exchanges of this VM with the member.
 	failed int
-	// news is how often the record is still to be passed on.
-	news int
-	// leaving is the VM's own word, listLeaving the platform's.
+	// pending is how often the record is still to be passed on as an update.
+	pending int
+	// leaving is as the VM itself reported, listLeaving as the platform's list shows.
 	leaving, listLeaving bool
-	// listed is the present list's word; wasListed says that it ever was.
+	// listed is set if the VM is on the current list, wasListed if it ever was on one.
 	listed, wasListed bool
-	// live is the present belief; gone is set until the VM has settled again,
-	// for which it has been free of suspicion since back.
-	live, gone bool
-	back       clock.Time
-	// seen is when the member was first known.
-	seen clock.Time
+	// live is set if the VM is considered live. dead is set from when it lost that state until it has
+	// settled again, for which it has been free of suspicion since settlingSince.
+	live, dead    bool
+	settlingSince clock.Time
+	// firstSeen is when the member was added.
+	firstSeen clock.Time
 }
 
-// hear takes an instant at which the VM was heard, and reports whether it
-// refutes a suspicion.
-func (x *member) hear(at clock.Time) bool {
-	if x.known && !at.After(x.heard) {
+// recordContact records a contact with the VM, and reports whether it refutes a suspicion.
+func (x *member) recordContact(at clock.Time) bool {
+	if x.contacted && !at.After(x.lastContact) {
 		return false
 	}
-	x.heard, x.known = at, true
-	if !x.suspect || !at.After(x.since) {
+	x.lastContact, x.contacted = at, true
+	if !x.suspected || !at.After(x.suspectedSince) {
 		return false
 	}
-	x.suspect = false
+	x.suspected = false
 	return true
 }
 
-// suspectSince takes a suspicion that began at an instant, and reports whether
-// it is new. A VM that was heard since is not suspected.
-func (x *member) suspectSince(at clock.Time) bool {
-	if x.known && x.heard.After(at) {
+// recordSuspicion records a suspicion that began at an instant, and reports whether it is new. A VM
+// with a later contact is not suspected.
+func (x *member) recordSuspicion(at clock.Time) bool {
+	if x.contacted && x.lastContact.After(at) {
 		return false
 	}
-	if x.suspect {
-		x.since = min(x.since, at)
+	if x.suspected {
+		x.suspectedSince = min(x.suspectedSince, at)
 		return false
 	}
-	x.suspect, x.since = true, at
+	x.suspected, x.suspectedSince = true, at
 	return true
 }
 
-// record returns what to tell of the VM, if there is anything: fresh evidence,
-// a suspicion, or that it leaves.
+// record returns the VM's record; false if there is nothing to pass on, that is, no recent contact,
+// no suspicion, and no report that the VM leaves.
 func (x *member) record(now clock.Time, suspectAfter time.Duration) (Record, bool) {
 	r := Record{VM: x.vm, Incarnation: x.incarnation, Leaving: x.leaving}
 	switch {
-	case x.suspect:
-		r.HeardAge = suspectAfter + now.Sub(x.since)
-	case x.known && now.Sub(x.heard) < suspectAfter:
-		r.HeardAge = now.Sub(x.heard)
+	case x.suspected:
+		r.HeardAge = suspectAfter + now.Sub(x.suspectedSince)
+	case x.contacted && now.Sub(x.lastContact) < suspectAfter:
+		r.HeardAge = now.Sub(x.lastContact)
 	case x.leaving:
 		r.HeardAge = suspectAfter - 1
 	default:
@@ -77,55 +76,55 @@
 	return r, true
 }
 
-// believe applies the table of the package comment.
-func (x *member) believe(now clock.Time, cfg *Config, isolated bool) bool {
+// evaluate reports whether the VM is considered live, by the table of the package comment.
+func (x *member) evaluate(now clock.Time, cfg *Config, isolated bool) bool {
 	if x.leaving || x.listLeaving {
 		return false
 	}
-	if isolated && x.suspect {
+	if isolated && x.suspected {
 		return x.live
 	}
 	if x.supported(now, cfg) {
 		return x.settled(now, cfg.SettleFor)
 	}
-	x.gone, x.back = true, 0
+	x.dead, x.settlingSince = true, 0
 	return false
 }
 
 func (x *member) supported(now clock.Time, cfg *Config) bool {
-	heardFor := now.Sub(x.heard)
+	contactAge := now.Sub(x.lastContact)
 	switch {
 	case x.listed:
-		return !x.suspect || now.Sub(x.since) < cfg.DeadAfter
+		return !x.suspected || now.Sub(x.suspectedSince) < cfg.DeadAfter
 	case x.wasListed:
-		return !x.suspect && x.known && heardFor < cfg.SuspectAfter
+		return !x.suspected && x.contacted && contactAge < cfg.SuspectAfter
 	default:
-		return !x.suspect && x.known && heardFor < cfg.UnlistedFor
+		return !x.suspected && x.contacted && contactAge < cfg.UnlistedFor
 	}
 }
 
 func (x *member) settled(now clock.Time, settleFor time.Duration) bool {
-	if !x.gone {
+	if !x.dead {
 		return true
 	}
-	if x.suspect {
-		x.back = 0
+	if x.suspected {
+		x.settlingSince = 0
 		return false
 	}
-	if x.back == 0 {
-		x.back = now
+	if x.settlingSince == 0 {
+		x.settlingSince = now
 	}
-	if now.Sub(x.back) < settleFor {
+	if now.Sub(x.settlingSince) < settleFor {
 		return false
 	}
-	x.gone, x.back = false, 0
+	x.dead, x.settlingSince = false, 0
 	return true
 }
 
-// lastSign is the latest instant at which anything was known of the VM.
-func (x *member) lastSign() clock.Time {
-	if x.known {
-		return max(x.seen, x.heard)
+// lastEvidence is the instant of the latest evidence of the VM.
+func (x *member) lastEvidence() clock.Time {
+	if x.contacted {
+		return max(x.firstSeen, x.lastContact)
 	}
-	return x.seen
+	return x.firstSeen
 }
--- a/membership/types.go
+++ b/membership/types.go
@@ -10,24 +10,23 @@
 type VM struct {
 	ID   string
 	Zone string
-	// Addr is the ip:port that the VM serves peers on.
+	// Addr is the ip:port at which the VM serves peers.
 	Addr string
 }
 
-// Record is evidence of one VM, as it travels between peers.
+// Record is the evidence of one VM, as peers exchange it.
 type Record struct {
 	VM VM
-	// Incarnation grows with every start of the VM's daemon.
+	// Incarnation grows with each start of the VM's daemon.
 	Incarnation uint64
-	// HeardAge is how long ago the VM was heard of, directly or through others,
-	// if below Config.SuspectAfter. From there on the VM is suspected, for the
-	// time that HeardAge is longer.
+	// ContactAge is the time since the last contact of any VM with this one, if it is below
+	// Config.SuspectAfter. If it is not, the VM is suspected, and has been for the difference.
 	HeardAge time.Duration
 	// Leaving is set once the VM drains.
 	Leaving bool
 }
 
-// Config sets a Machine. Zero values take the defaults.
+// Config configures a Machine. Zero values take the defaults.
 type Config struct {
 	// Interval is the time between two rounds of exchanges; default 500 ms.
 	Interval time.Duration
@@ -35,20 +34,20 @@
 	Fanout int
 	// MaxRecords bounds the records of an exchange; default 32.
 	MaxRecords int
-	// SuspectAfter divides fresh evidence from suspicion; it must be the same on
-	// all VMs; default 2 s.
+	// SuspectAfter is the age of a contact from which a record is a suspicion; it must be the same
+	// on all VMs; default 2 s.
 	SuspectAfter time.Duration
-	// DeadAfter is how long a listed VM is suspected before it is gone; default
-	// 3 s.
+	// DeadAfter is how long a listed VM is suspected before it is considered dead; default 3 s.
 	DeadAfter time.Duration
-	// UnlistedFor is how long a VM that was never listed is live after it was
-	// last heard; default 2 min, longer than the list lags.
+	// UnlistedFor is how long a VM that was never listed is live after its last contact; default
+	// 2 min, longer than the list lags.
 	UnlistedFor time.Duration
-	// SettleFor is how long a VM that was gone must be heard; default 2 s.
+	// SettleFor is how long a VM that was considered dead must be free of suspicion before it is
+	// live again; default 2 s.
 	SettleFor time.Duration
-	// Incarnation is this VM's own.
+	// Incarnation is this VM's incarnation.
 	Incarnation uint64
-	// Seed feeds the choice of partners.
+	// Seed seeds the random choice of partners.
 	Seed uint64
 }
 
@@ -73,30 +72,29 @@
 	}
 }
 
-// Event is what a Machine takes.
+// Event is an input of a Machine.
 type Event interface{ event() }
 
 // Tick is due every Config.Interval.
 type Tick struct{}
 
-// Listed is the platform's list of VMs. A read that failed is no event: the
-// last list stands.
+// Listed is the platform's list of VMs. A failed read of it is no event: the last list remains in
+// force.
 type Listed struct{ VMs []store.VM }
 
-// Exchanged is what a peer said of itself and of others in an exchange, in
-// either direction.
+// Exchanged is what a peer sent in an exchange, in either direction.
 type Exchanged struct {
-	// From is the peer's own record; it was heard just now.
+	// From is the peer's own record; the exchange is a contact with the peer.
 	From Record
 	// Others are the peer's records of other VMs.
 	Others []Record
 }
 
-// Unanswered says that an exchange with the VM failed.
+// Unanswered reports that an exchange with the VM failed.
 type Unanswered struct{ ID string }
 
-// Leave says that this VM drains: it stays a member until it ends, but its
-// work goes to others.
+// Leave reports that this VM drains: it stays a member until its process ends, but its work moves to
+// others.
 type Leave struct{}
 
 func (Tick) event()       {}
@@ -105,14 +103,14 @@
 func (Unanswered) event() {}
 func (Leave) event()      {}
 
-// Action is what a Machine orders.
+// Action is an output of a Machine, for the driver to carry out.
 type Action interface{ action() }
 
-// Exchange orders an exchange with the VM: send Records, answer with Exchanged
-// or Unanswered.
+// Exchange requests an exchange with the VM: the driver sends Records, and steps Exchanged or
+// Unanswered.
 type Exchange struct{ With VM }
 
-// Changed says that Live has changed.
+// Changed reports that Live has changed.
 type Changed struct{}
 
 func (Exchange) action() {}
