--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -8,13 +8,13 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// Freshness is what a route's reads must see.
+// Freshness defines which commits a route's reads must see.
 type Freshness uint8
 
 const (
 	// Exact reads see every acknowledged commit.
 	Exact Freshness = iota
-	// Bounded reads see every commit acknowledged longer than MaxAge ago.
+	// Bounded reads see every commit that was acknowledged more than MaxAge ago.
 	Bounded
 	// Own reads are Bounded, and also see all commits of their own session.
 	Own
@@ -23,37 +23,36 @@
 // String returns the name in logs and metrics.
 func (f Freshness) String() string { return [...]string{"exact", "bounded", "own"}[f] }
 
-// Route leads a database's name to a service.
+// Route maps a database's name to a service.
 type Route struct {
 	Name string
 	// Database is the name that consumers connect to.
 	Database string
-	// Service is the group of targets that serves it.
+	// Service is the group of targets that serves the database.
 	Service   string
 	Freshness Freshness
 	// MaxAge is the greatest age of the data that Bounded and Own reads accept.
 	MaxAge time.Duration
 	// StatementTimeout bounds a single statement.
 	StatementTimeout time.Duration
-	// Objective is the latency objective of a whole operation.
+	// Objective is the latency objective of an operation, from its request to its answer.
 	Objective time.Duration
 	// Priority orders operations under load; 0 is the highest.
 	Priority int
-	// Public routes serve callers whose key nobody holds.
+	// Public routes also serve callers with a key that no workspace holds.
 	Public bool
 }
 
-// Service is a group of targets, one of which leads.
+// Service is a group of targets, one of which is the primary.
 type Service struct {
 	Name string
-	// MaxConnections is a target's limit for the connections of all callers.
+	// MaxConnections is a target's limit on the connections of all callers together.
 	MaxConnections int
-	// SyncReplicas is how many replicas hold a commit before it is
-	// acknowledged.
+	// SyncReplicas is how many replicas must hold a commit before it is acknowledged.
 	SyncReplicas int
 }
 
-// Config is one version of what the operator published. It is immutable.
+// Config is one version of the operator's configuration. It is immutable.
 type Config struct {
 	// Version grows with each change.
 	Version int64
@@ -61,10 +60,10 @@
 	Routes map[string]*Route
 	// Services by name.
 	Services map[string]*Service
-	// TransactionIdle is how long a transaction may stay without a statement.
+	// TransactionIdle is how long a transaction may stay open without a statement.
 	TransactionIdle time.Duration
-	// Keyed is set if callers are known by API keys. Without it, Workspaces and Keys
-	// are empty and everybody is served.
+	// Keyed is set if API keys identify callers. Without it, Workspaces and Keys are empty and every
+	// caller is served.
 	Keyed bool
 	// Workspaces by name.
 	Workspaces map[string]*Workspace
@@ -72,7 +71,7 @@
 	Keys map[string]*Key
 }
 
-// entries is how many routes, services, workspaces and keys the configuration has.
+// entries is the number of routes, services, workspaces and keys in the configuration.
 func (c *Config) entries() int {
 	return len(c.Routes) + len(c.Services) + len(c.Workspaces) + len(c.Keys)
 }
@@ -83,30 +82,30 @@
 	Service string
 	Addr    string
 	Zone    string
-	// Slots is how many statements it runs at once.
+	// Slots is how many statements it runs concurrently.
 	Slots int
-	// Draining means that it leaves and takes no new work.
+	// Draining is set if the target is being taken out of service and accepts no new work.
 	Draining bool
-	// Role is its own claim.
+	// Role is the role that the target reports.
 	Role target.Role
-	// Incarnation is the Unix millisecond of its process's start; 0 if not told.
-	// A target that starts again under its id has another one, and holds and
-	// knows nothing of before.
+	// Incarnation is the start time of its process in Unix milliseconds; 0 if not reported. A target
+	// that restarts under its id has another one, and has lost the data and state of the former
+	// one.
 	Incarnation int64
 }
 
-// Reign records what the fleet knows of a service's leadership: the newest
-// promotion, or the one that is under way.
+// LeadershipRecord is the stored record of a service's newest promotion, or of the promotion attempt
+// under way.
 type Reign struct {
 	Service string
 	// Revision is the store's revision of this record.
 	Revision Revision
-	// Era is the store's as the record was written. One that was written in an earlier
-	// era than its Revision's tells what was so before the store came back from an older
-	// copy: later records may be lost.
+	// Era is the store's era in which the record was written. If it is earlier than the era of
+	// Revision, the record shows the state before the store was restored from an older copy, and
+	// later records may be lost.
 	Era int64
-	// Lost is set if there is no record any more, as the store came back from an older
-	// copy; Revision is then 0.
+	// Lost is set if the record no longer exists because the store was restored from an older copy;
+	// Revision is then 0.
 	Lost bool
 	// Primary is the target last promoted by the fleet; empty if none was.
 	Primary target.ID
@@ -116,35 +115,36 @@
 	Attempt *Attempt
 }
 
-// Attempt is a promotion under way. Its holder alone may order a promotion of
-// the service, until it ends or lapses.
+// Attempt is a promotion attempt under way. Only its holder may promote a target of the service,
+// until the attempt ends or expires.
 type Attempt struct {
 	// Holder is the VM that makes the attempt.
 	Holder string
-	// Nonce tells this attempt from all others of the same holder.
+	// Nonce distinguishes this attempt from all others of the same holder.
 	Nonce string
-	// Deposed is the target that is to be replaced.
+	// Deposed is the primary being replaced.
 	Deposed target.ID
 }
 
-// Catalog is everything that is known at one moment. It is immutable.
+// Catalog is the state that a VM has obtained from the store and from peers. It is immutable.
 type Catalog struct {
-	// Config is nil until one was learned.
+	// Config is nil until a configuration was received.
 	Config *Config
 	// Targets by id.
 	Targets map[target.ID]*Target
 	// ByService lists a service's targets in the order of their ids.
 	ByService map[string][]*Target
-	// Reigns by service.
+	// LeadershipRecords by service.
 	Reigns map[string]*Reign
 	// VMs lists the fleet, in the order of their names.
 	VMs []VM
-	// TargetsRevision and FleetRevision are the store's revisions up to which
-	// Targets, and VMs with Reigns, are complete.
+	// TargetsRevision and FleetRevision are the store's revisions up to which Targets, and VMs with
+	// LeadershipRecords, are complete.
 	TargetsRevision, FleetRevision Revision
-	// changes lead to Config, the oldest first, each from where the one before ends.
+	// changes are the latest changes that lead to Config, the oldest first; each starts from the
+	// version that the previous one ends with.
 	changes []*Change
-	// fleetHistory and targetsHistory lead to VMs and Targets in the same way.
+	// fleetHistory and targetsHistory are the same for VMs and Targets.
 	fleetHistory   history[VM]
 	targetsHistory history[Target]
 }
@@ -156,9 +156,9 @@
 	Zone string
 	// Peer is the address at which the VM answers its peers.
 	Peer string
-	// Incarnation is new for each run of the VM's process.
+	// Incarnation is different for each run of the VM's process.
 	Incarnation string
-	// Capacity is the processor time that the VM has, in cores; 0 if not known.
+	// Capacity is the processor time available to the VM, in cores; 0 if not known.
 	Capacity float64
 }
 
@@ -178,7 +178,7 @@
 	return c.Config.Services[name]
 }
 
-// Incarnation returns a target's; false if the target is not known.
+// Incarnation returns a target's incarnation; false if the catalog has no such target.
 func (c *Catalog) Incarnation(id target.ID) (incarnation int64, known bool) {
 	t := c.Targets[id]
 	if t == nil {
@@ -187,7 +187,7 @@
 	return t.Incarnation, true
 }
 
-// ConfigVersion is the version of the configuration; 0 if none was learned.
+// ConfigVersion returns the version of the configuration; 0 if there is none yet.
 func (c *Catalog) ConfigVersion() int64 {
 	if c.Config == nil {
 		return 0
@@ -195,7 +195,7 @@
 	return c.Config.Version
 }
 
-// VM returns the named VM's entry; false if the fleet's list has none.
+// VM returns the named VM's entry; false if the fleet's list has no such VM.
 func (c *Catalog) VM(name string) (VM, bool) {
 	at, ok := slices.BinarySearchFunc(c.VMs, name, func(vm VM, name string) int { return cmp.Compare(vm.ID, name) })
 	if !ok {
@@ -204,7 +204,7 @@
 	return c.VMs[at], true
 }
 
-// Names returns the names of the fleet's VMs.
+// VMNames returns the names of the fleet's VMs.
 func (c *Catalog) Names() []string {
 	out := make([]string, len(c.VMs))
 	for i, vm := range c.VMs {
@@ -213,5 +213,6 @@
 	return out
 }
 
-// Complete reports whether enough is known to serve requests.
+// Complete reports whether the catalog suffices to serve requests: it has a configuration and
+// targets.
 func (c *Catalog) Complete() bool { return c.Config != nil && len(c.Targets) > 0 }
--- a/catalog/change_test.go
+++ b/catalog/change_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawConfig draws a configuration over a few names, so that routes come, change
-// and go from one version to the next.
+// drawConfig draws a configuration over a few names, so that routes are added, changed and removed
+// from one version to the next.
 func drawConfig(t *rapid.T, version int64) *Config {
 	c := &Config{Version: version, Routes: make(map[string]*Route), Services: make(map[string]*Service)}
 	c.TransactionIdle = time.Duration(rapid.IntRange(1, 3).Draw(t, "idle")) * time.Second
@@ -23,9 +23,9 @@
 	return c
 }
 
-// VMs stand at different versions, some of them many behind, while routes come,
-// change, go and come back. Whoever is told what has changed since its version
-// ends with the same configuration as one who read the whole.
+// VMs have different versions, some of them many versions behind, while routes are added, changed,
+// removed and added again. A VM that applies the change since its version has the same configuration
+// as one that reads the full configuration.
 func TestChangesLeadToTheSameConfiguration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := NewHolder()
@@ -47,9 +47,9 @@
 	})
 }
 
-// A VM has moved on while the answer to its question was on its way, or asks from
-// a version that nobody remembers. A change on another base would leave it with a
-// route that the others do not have.
+// Failure guarded against: a VM gets a new version while the reply to its pull is in flight, or pulls
+// from a version whose changes are not retained. A change applied to another base would leave it
+// with a route that the others do not have.
 func TestAChangeHoldsForItsOwnVersionOnly(t *testing.T) {
 	one, two, three := small(1, 1), small(2, 2), small(3, 3)
 	require.Nil(t, Between(one, two).Apply(three))
@@ -71,9 +71,9 @@
 	return c
 }
 
-// A storm of changes, or one that replaces everything, must not grow what a VM
-// remembers. A way that is no shorter than the whole is not told.
-func TestRememberedChangesAreBounded(t *testing.T) {
+// Failure guarded against: a burst of changes, or a change that replaces every entry, grows the
+// retained changes without bound. A change with no fewer entries than the full list is not sent.
+func TestRetainedChangesAreBounded(t *testing.T) {
 	h := NewHolder()
 	for v := range 3 * maxChanges {
 		h.SetConfig(small(int64(v+1), v))
@@ -83,23 +83,24 @@
 	require.Nil(t, now.ConfigSince(1))
 	require.Len(t, now.ConfigSince(now.Config.Version-maxChanges).Routes, 1)
 
-	whole := small(1000, 1)
+	full := small(1000, 1)
 	for i := range 2 * minChanged {
-		whole.Routes[fmt.Sprint("new", i)] = &Route{}
+		full.Routes[fmt.Sprint("new", i)] = &Route{}
 	}
-	h.SetConfig(whole)
+	h.SetConfig(full)
 	sum := 0
 	for _, step := range h.Load().changes {
 		sum += step.entries()
 	}
-	require.LessOrEqual(t, sum, whole.entries())
+	require.LessOrEqual(t, sum, full.entries())
 	h.SetConfig(small(1001, 1))
 	require.Empty(t, h.Load().changes)
 	require.Nil(t, h.Load().ConfigSince(1000))
 }
 
-// Guards against a large change, far smaller than the list that it changes, that costs every VM the whole list.
-func TestLargeChangeOfALargerListIsTold(t *testing.T) {
+// Failure guarded against: a large change that is still far smaller than its list costs each VM the
+// full list.
+func TestLargeChangeOfALargerListIsSent(t *testing.T) {
 	before, after := small(14, 1), small(16, 1)
 	for i := range 4266 {
 		name := fmt.Sprint("tenant", i)
--- a/catalog/holder.go
+++ b/catalog/holder.go
@@ -10,8 +10,8 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// Holder keeps the present Catalog. Reading it takes one atomic load; changes
-// copy what they touch and are made one at a time.
+// Holder holds the current Catalog. Reading it takes one atomic load; changes copy what they modify
+// and are made one at a time.
 type Holder struct {
 	mu      sync.Mutex
 	current atomic.Pointer[Catalog]
@@ -27,20 +27,19 @@
 	return h
 }
 
-// Load returns the present Catalog.
+// Load returns the current Catalog.
 func (h *Holder) Load() *Catalog { return h.current.Load() }
 
-// Changed returns a channel that is closed by the next change. Take it before
-// Load, or a change in between goes unseen.
+// Changed returns a channel that is closed by the next change. Call it before Load, or a change in
+// between is missed.
 func (h *Holder) Changed() <-chan struct{} { return *h.changed.Load() }
 
-// SetConfig takes over a configuration unless a later one is in force, and
+// SetConfig installs a configuration unless one of the same or a later version is in force, and
 // reports whether it did.
 //
-// Failure guarded against: a configuration that goes back. It shows as a
-// request handled by a route that was already replaced, after a restarted
-// watch or a slower peer delivered an older version. The version only grows,
-// so an older one is never taken.
+// Failure guarded against: a restarted watch or a slow peer delivers an older version, the
+// configuration goes back to it, and requests use a route that was already replaced. The version
+// only grows, so an older one is never installed.
 func (h *Holder) SetConfig(c *Config) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -51,14 +50,14 @@
 	next := *old
 	next.Config = c
 	if old.Config != nil {
-		next.changes = remembered(old.changes, Between(old.Config, c), c.entries())
+		next.changes = appendBounded(old.changes, Between(old.Config, c), c.entries())
 	}
 	h.publish(&next)
 	return true
 }
 
-// SetTargets replaces all targets by those that the store had at a revision,
-// unless a later list is known. It reports whether it did.
+// SetTargets replaces all targets by those in the store at a revision, unless a later list is
+// installed. It reports whether it did.
 func (h *Holder) SetTargets(targets map[target.ID]*Target, revision int64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -73,34 +72,34 @@
 	return true
 }
 
-// SetFleet replaces the list of VMs by the one that the store had at a
-// revision, unless a later one is known, and takes over later records of
-// reigns. It reports whether the list was taken.
-func (h *Holder) SetFleet(vms []VM, reigns map[string]*Reign, revision int64) bool {
+// SetFleet replaces the list of VMs by the one in the store at a revision, unless a later one is
+// installed, and merges the leadership records that are later than the installed ones. It reports
+// whether the list was replaced.
+func (h *Holder) SetFleet(vms []VM, records map[string]*Reign, revision int64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	next := *h.Load()
-	next.Reigns = laterReigns(next.Reigns, reigns)
-	taken := revision >= next.FleetRevision
-	if taken && EraOf(revision) > EraOf(next.FleetRevision) {
-		next.Reigns = ofEra(next.Reigns, EraOf(revision))
+	next.Reigns = laterRecords(next.Reigns, records)
+	later := revision >= next.FleetRevision
+	if later && EraOf(revision) > EraOf(next.FleetRevision) {
+		next.Reigns = markLost(next.Reigns, EraOf(revision))
 	}
-	if taken {
+	if later {
 		next.setVMs(slices.SortedFunc(slices.Values(vms), byName), revision)
 	}
 	h.publish(&next)
-	return taken
+	return later
 }
 
-// setVMs takes over a list, and remembers what has changed since the one before.
+// setVMs installs a list, and retains the change from the previous one.
 func (c *Catalog) setVMs(vms []VM, revision int64) {
 	c.fleetHistory = c.fleetHistory.next(listOf(c.VMs), listOf(vms), c.FleetRevision, revision)
 	c.VMs, c.FleetRevision = vms, revision
 }
 
-func laterReigns(known, offered map[string]*Reign) map[string]*Reign {
+func laterRecords(current, offered map[string]*Reign) map[string]*Reign {
 	out := make(map[string]*Reign, len(offered))
-	maps.Copy(out, known)
+	maps.Copy(out, current)
 	for service, r := range offered {
 		if old := out[service]; old == nil || old.Revision < r.Revision {
 			out[service] = r
@@ -109,11 +108,11 @@
 	return out
 }
 
-// ofEra replaces the records that the store has lost as it came back from an older copy:
-// those that are not on its list any more.
-func ofEra(reigns map[string]*Reign, era int64) map[string]*Reign {
-	out := make(map[string]*Reign, len(reigns))
-	for service, r := range reigns {
+// markLost replaces the records that are not on the store's list of the new era: they were lost when
+// the store was restored from an older copy.
+func markLost(records map[string]*Reign, era int64) map[string]*Reign {
+	out := make(map[string]*Reign, len(records))
+	for service, r := range records {
 		if EraOf(r.Revision) < era {
 			r = &Reign{Service: service, Lost: true}
 		}
@@ -122,7 +121,7 @@
 	return out
 }
 
-// SetReign takes over one service's record unless a later one is known.
+// SetLeadershipRecord installs one service's record unless the same or a later one is installed.
 func (h *Holder) SetReign(r *Reign) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -131,7 +130,7 @@
 		return
 	}
 	next := *old
-	next.Reigns = laterReigns(old.Reigns, map[string]*Reign{r.Service: r})
+	next.Reigns = laterRecords(old.Reigns, map[string]*Reign{r.Service: r})
 	h.publish(&next)
 }
 
--- a/catalog/holder_test.go
+++ b/catalog/holder_test.go
@@ -8,8 +8,8 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// A watch is restarted and a peer answers late: both bring configurations that
-// were replaced long ago. None of them may come into force again.
+// Failure guarded against: a restarted watch or a late reply of a peer delivers a configuration that
+// was already replaced, and it comes into force again.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	h := NewHolder()
 	require.True(t, h.SetConfig(&Config{Version: 7}))
@@ -18,7 +18,7 @@
 	require.EqualValues(t, 7, h.Load().Config.Version)
 }
 
-func TestEarlierListsAreNotTaken(t *testing.T) {
+func TestEarlierListsAreNotInstalled(t *testing.T) {
 	h := NewHolder()
 	require.True(t, h.SetTargets(map[target.ID]*Target{"a": {ID: "a", Service: "s"}}, 10))
 	require.False(t, h.SetTargets(nil, 9))
@@ -30,9 +30,9 @@
 	require.True(t, ok)
 }
 
-// A peer's list of the fleet is old, but one of its records is news, or the
-// other way round: each record counts by its own revision.
-func TestReignsCountByTheirOwnRevision(t *testing.T) {
+// A peer's list of the fleet may be older while one of its leadership records is newer, or the other
+// way round: each record is compared by its own revision.
+func TestLeadershipRecordsCompareByTheirOwnRevision(t *testing.T) {
 	h := NewHolder()
 	h.SetReign(&Reign{Service: "s", Revision: 5, Primary: "a"})
 	h.SetFleet(nil, map[string]*Reign{"s": {Service: "s", Revision: 4, Primary: "b"}, "t": {Service: "t", Revision: 3}}, 1)
@@ -47,7 +47,7 @@
 	changed := h.Changed()
 	select {
 	case <-changed:
-		t.Fatal("nothing has changed yet")
+		t.Fatal("the channel is closed before a change")
 	default:
 	}
 	h.SetConfig(&Config{Version: 1})
--- a/catalog/listchange.go
+++ b/catalog/listchange.go
@@ -11,45 +11,45 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// ListChange leads from one state of a list, the fleet's or that of the targets, to
+// ListChange is the difference between one state of a list, the fleet's or that of the targets, and
 // a later one. It is immutable.
 //
-// It gains that a VM which joins costs the others its entry and not the whole list.
+// With it, a VM that joins costs the others the size of its entry and not of the full list.
 type ListChange[V Listed] struct {
 	// From and To are revisions of the store.
 	From, To int64
-	// Other are the entries that are new or other.
+	// Updated are the entries that were added or changed.
 	Other []V
-	// Gone are the names of those that are on the list no more.
+	// Removed are the names of the entries that were removed.
 	Gone []string
-	// Digest is that of the list which the change leads to.
+	// Digest is the digest of the list that the change leads to.
 	Digest uint64
 }
 
-// Listed is an entry of a list.
+// ListEntry is an entry of a list.
 type Listed interface {
 	comparable
-	// Name tells the entries of a list apart.
+	// Name identifies the entry within its list.
 	Name() string
-	// fields are all that the entry says.
+	// fields are all values of the entry, as the digest covers them.
 	fields() []string
 }
 
-// Name implements Listed.
+// Name implements ListEntry.
 func (vm VM) Name() string { return vm.ID }
 
 func (vm VM) fields() []string {
 	return []string{vm.ID, vm.Zone, vm.Peer, vm.Incarnation, strconv.FormatFloat(vm.Capacity, 'g', -1, 64)}
 }
 
-// Name implements Listed.
+// Name implements ListEntry.
 func (t Target) Name() string { return string(t.ID) }
 
 func (t Target) fields() []string {
 	return []string{string(t.ID), t.Service, t.Addr, t.Zone, strconv.Itoa(t.Slots), strconv.FormatBool(t.Draining), t.Role.String(), strconv.FormatInt(t.Incarnation, 10)}
 }
 
-// list is a list by the names of its entries.
+// list is a list, indexed by the names of its entries.
 type list[V Listed] map[string]V
 
 func listOf[V Listed](entries []V) list[V] {
@@ -68,7 +68,7 @@
 	return out
 }
 
-// digest tells two lists apart, whatever the order of their entries.
+// digest distinguishes the contents of lists; it does not depend on the order of the entries.
 func (l list[V]) digest() uint64 {
 	sum := uint64(0)
 	for _, v := range l {
@@ -82,7 +82,7 @@
 	return sum
 }
 
-// changeTo returns what leads to another list.
+// changeTo returns the change that leads to another list, without its revisions.
 func (l list[V]) changeTo(to list[V]) *ListChange[V] {
 	out := &ListChange[V]{Digest: to.digest()}
 	for name, v := range to {
@@ -102,14 +102,14 @@
 
 func (c *ListChange[V]) entries() int { return len(c.Other) + len(c.Gone) }
 
-// applied returns the list that the change leads to from another; false if it leads
-// elsewhere.
+// applied returns the result of the change on a list; false if the result does not have the digest
+// of the change.
 //
-// Failure guarded against: two VMs' lists differ at one revision, as a list of many
-// pages may hold entries that are newer than its revision, and a target whose entry
-// lapsed is kept for a while. What changed for one of them is not all that changed
-// for the other. It would show as VMs or targets that a part of the fleet does not
-// know, for good. The digest is that of the teller's whole list.
+// Failure guarded against: the lists of two VMs differ at the same revision, because a list of many
+// pages may hold entries that are newer than its revision, and because a target is retained for some
+// time after its entry expired. The change of one VM's list is then not the complete change of the
+// other's, and a part of the fleet permanently lacks some VMs or targets. The digest covers the full
+// list of the VM that sends the change.
 func (c *ListChange[V]) applied(base list[V]) (list[V], bool) {
 	out := maps.Clone(base)
 	for _, name := range c.Gone {
@@ -121,8 +121,8 @@
 	return out, out.digest() == c.Digest
 }
 
-// ApplyVMs returns the fleet's list, in the order of the names, that a change leads
-// to from another; false if it leads elsewhere.
+// ApplyVMs returns the result of a change on the fleet's list, in the order of the names; false if
+// the change does not apply to that list.
 func ApplyVMs(c *ListChange[VM], base []VM) ([]VM, bool) {
 	l, ok := c.applied(listOf(base))
 	return slices.SortedFunc(maps.Values(l), byName), ok
@@ -140,11 +140,11 @@
 	return out, ok
 }
 
-// history is how a list came to be what it is: the latest changes, the oldest
-// first, each from where the one before ends.
+// history holds the latest changes of a list, the oldest first; each starts from the revision that
+// the previous one ends with.
 type history[V Listed] []*ListChange[V]
 
-// next returns the history with one more change. The first list is none.
+// next returns the history with one more change. The first list starts an empty history.
 func (h history[V]) next(from, to list[V], before, after int64) history[V] {
 	if before == 0 {
 		return nil
@@ -154,12 +154,12 @@
 		return h
 	}
 	change.From, change.To = before, after
-	return remembered(h, change, len(to))
+	return appendBounded(h, change, len(to))
 }
 
-// since returns the change that leads from a revision to the present list, of which
-// find looks an entry up; nil if the way from there is not remembered, or tells of
-// no less than the whole list.
+// since returns the change that leads from a revision to the current list, in which find looks up an
+// entry; nil if the changes since that revision are not retained, or if the change has no fewer
+// entries than the full list.
 func (h history[V]) since(revision int64, size int, find func(name string) (V, bool)) *ListChange[V] {
 	chain := since(h, revision)
 	if len(chain) == 0 {
@@ -189,8 +189,8 @@
 	return out
 }
 
-// FleetSince returns what has changed in the fleet's list since a revision; nil if
-// the whole is to be told.
+// FleetSince returns the change of the fleet's list since a revision; nil if the full list must be
+// sent.
 func (c *Catalog) FleetSince(revision int64) *ListChange[VM] {
 	return c.fleetHistory.since(revision, len(c.VMs), c.VM)
 }
--- a/catalog/listchange_test.go
+++ b/catalog/listchange_test.go
@@ -21,9 +21,9 @@
 	return out
 }
 
-// VMs join, start anew and go, and now and then a list has entries that are newer
-// than its revision. Whoever is told what has changed since its revision ends with
-// the teller's list, or knows that it did not.
+// VMs join, restart and are removed, and some lists have entries that are newer than their revision.
+// A VM that applies the change since its revision has the list of the VM that sent the change, or
+// detects that it has not.
 func TestFleetChangesLeadToTheSameList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := NewHolder()
@@ -45,7 +45,7 @@
 				continue
 			}
 			vms, ok := ApplyVMs(change, at.vms)
-			require.True(t, ok, "one of its own earlier lists fits")
+			require.True(t, ok, "the change applies to an earlier list of the same holder")
 			require.True(t, slices.Equal(now.VMs, vms))
 			other := drawVMs(t)
 			if vms, ok = ApplyVMs(change, other); ok {
@@ -55,9 +55,9 @@
 	})
 }
 
-// A VM was listed on a page that was read after it joined, so that one peer has it
-// at a revision and another has not. Told what changed since, the second one would
-// never hear of it.
+// Failure guarded against: a VM is on a page that one peer read after the VM joined and another peer
+// before, so that their lists differ at the same revision. With only the change since that revision,
+// the second peer would never add the VM.
 func TestAListThatDivergedIsNoticed(t *testing.T) {
 	early, late := VM{ID: "early"}, VM{ID: "late"}
 	h := NewHolder()
@@ -76,10 +76,10 @@
 	require.Len(t, vms, 12)
 }
 
-// A target's entry lapses while the store is down. One peer still keeps the target
-// when the list changes next, another has let it go. The change does not fit whoever
-// learned the list from the first one.
-func TestATargetThatIsKeptForAWhileDoesNotStay(t *testing.T) {
+// Failure guarded against: a target's entry expires while the store is unavailable. When the list
+// changes next, one peer still retains the target and another has dropped it, and the change leaves
+// the target in the list of a VM that got its list from the first peer.
+func TestRetainedTargetOfAnExpiredEntryIsRemoved(t *testing.T) {
 	targets := func(names ...target.ID) map[target.ID]*Target {
 		out := make(map[target.ID]*Target)
 		for _, id := range names {
@@ -89,15 +89,15 @@
 	}
 	h := NewHolder()
 	h.SetTargets(targets("a", "b", "c", "lapsed"), 10)
-	kept := h.Load().Targets
+	retained := h.Load().Targets
 	h.SetTargets(targets("a", "b", "c"), 10)
-	let := h.Load().Targets
+	dropped := h.Load().Targets
 	h.SetTargets(targets("a", "b", "c", "d"), 12)
 	now := h.Load()
-	fits, ok := ApplyTargets(now.TargetsSince(10), kept)
-	require.True(t, ok, "what was let go at one revision is told as well")
-	require.Equal(t, now.Targets, fits)
-	_, ok = ApplyTargets(now.TargetsSince(10), let)
+	applied, ok := ApplyTargets(now.TargetsSince(10), retained)
+	require.True(t, ok, "an entry dropped at the same revision is part of the change")
+	require.Equal(t, now.Targets, applied)
+	_, ok = ApplyTargets(now.TargetsSince(10), dropped)
 	require.True(t, ok)
 	_, ok = ApplyTargets(now.TargetsSince(10), targets("a", "b", "c", "other"))
 	require.False(t, ok)
--- a/catalog/revision_test.go
+++ b/catalog/revision_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against: evidence or a token of a store that is no more which passes for newer.
+// Failure guarded against: evidence or a token from before a restore of the store counts as newer
+// than one from after it.
 func TestALaterEraIsTheHigherRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		era, count := rapid.Int64Range(0, 8000).Draw(t, "era"), rapid.Int64Range(0, 1<<40-1).Draw(t, "count")
@@ -15,12 +16,13 @@
 		require.Equal(t, era, EraOf(r))
 		require.Equal(t, count, CountOf(r))
 		require.Greater(t, RevisionOf(era+1, 0), r)
-		require.Less(t, r, int64(1)<<53, "a whole number in JSON")
+		require.Less(t, r, int64(1)<<53, "an exact integer in JSON")
 	})
 	require.EqualValues(t, 412, RevisionOf(0, 412), "a store without eras")
 }
 
-// Guards against: records that go on though the store has lost them, and ones that are lost with the list of an era that was known.
+// Failure guarded against: records stay in force after the store has lost them, or a list of an era
+// that is already known marks records as lost.
 func TestRecordsThatTheStoreHasLost(t *testing.T) {
 	h := NewHolder()
 	h.SetFleet(nil, map[string]*Reign{"a": {Service: "a", Revision: RevisionOf(1, 450), Attempt: &Attempt{}}, "b": {Service: "b", Revision: RevisionOf(1, 300)}}, RevisionOf(1, 500))
