--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -96,7 +96,7 @@
 
 // LeadershipRecord is the stored record of a service's newest promotion, or of the promotion attempt
 // under way.
-type Reign struct {
+type LeadershipRecord struct {
 	Service string
 	// Revision is the store's revision of this record.
 	Revision Revision
@@ -135,7 +135,7 @@
 	// ByService lists a service's targets in the order of their ids.
 	ByService map[string][]*Target
 	// LeadershipRecords by service.
-	Reigns map[string]*Reign
+	LeadershipRecords map[string]*LeadershipRecord
 	// VMs lists the fleet, in the order of their names.
 	VMs []VM
 	// TargetsRevision and FleetRevision are the store's revisions up to which Targets, and VMs with
@@ -205,7 +205,7 @@
 }
 
 // VMNames returns the names of the fleet's VMs.
-func (c *Catalog) Names() []string {
+func (c *Catalog) VMNames() []string {
 	out := make([]string, len(c.VMs))
 	for i, vm := range c.VMs {
 		out[i] = vm.ID
--- a/catalog/change.go
+++ b/catalog/change.go
@@ -26,7 +26,7 @@
 }
 
 // Diff returns the change that leads from one configuration to another.
-func Between(from, to *Config) *Change {
+func Diff(from, to *Config) *Change {
 	c := &Change{From: from.Version, To: to.Version, TransactionIdle: to.TransactionIdle, Keyed: to.Keyed}
 	c.Routes, c.RemovedRoutes = differences(from.Routes, to.Routes)
 	c.Services, c.RemovedServices = differences(from.Services, to.Services)
--- a/catalog/change_test.go
+++ b/catalog/change_test.go
@@ -39,7 +39,7 @@
 		}
 		now := h.Load()
 		for _, base := range versions {
-			require.Equal(t, now.Config, Between(base, now.Config).Apply(base))
+			require.Equal(t, now.Config, Diff(base, now.Config).Apply(base))
 			if change := now.ConfigSince(base.Version); change != nil {
 				require.Equal(t, now.Config, change.Apply(base))
 			}
@@ -52,8 +52,8 @@
 // with a route that the others do not have.
 func TestAChangeHoldsForItsOwnVersionOnly(t *testing.T) {
 	one, two, three := small(1, 1), small(2, 2), small(3, 3)
-	require.Nil(t, Between(one, two).Apply(three))
-	require.Nil(t, Between(one, two).Apply(nil))
+	require.Nil(t, Diff(one, two).Apply(three))
+	require.Nil(t, Diff(one, two).Apply(nil))
 	h := NewHolder()
 	require.Nil(t, h.Load().ConfigSince(0))
 	h.SetConfig(two)
--- a/catalog/holder.go
+++ b/catalog/holder.go
@@ -50,7 +50,7 @@
 	next := *old
 	next.Config = c
 	if old.Config != nil {
-		next.changes = appendBounded(old.changes, Between(old.Config, c), c.entries())
+		next.changes = appendBounded(old.changes, Diff(old.Config, c), c.entries())
 	}
 	h.publish(&next)
 	return true
@@ -75,14 +75,14 @@
 // SetFleet replaces the list of VMs by the one in the store at a revision, unless a later one is
 // installed, and merges the leadership records that are later than the installed ones. It reports
 // whether the list was replaced.
-func (h *Holder) SetFleet(vms []VM, records map[string]*Reign, revision int64) bool {
+func (h *Holder) SetFleet(vms []VM, records map[string]*LeadershipRecord, revision int64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	next := *h.Load()
-	next.Reigns = laterRecords(next.Reigns, records)
+	next.LeadershipRecords = laterRecords(next.LeadershipRecords, records)
 	later := revision >= next.FleetRevision
 	if later && EraOf(revision) > EraOf(next.FleetRevision) {
-		next.Reigns = markLost(next.Reigns, EraOf(revision))
+		next.LeadershipRecords = markLost(next.LeadershipRecords, EraOf(revision))
 	}
 	if later {
 		next.setVMs(slices.SortedFunc(slices.Values(vms), byName), revision)
@@ -97,8 +97,8 @@
 	c.VMs, c.FleetRevision = vms, revision
 }
 
-func laterRecords(current, offered map[string]*Reign) map[string]*Reign {
-	out := make(map[string]*Reign, len(offered))
+func laterRecords(current, offered map[string]*LeadershipRecord) map[string]*LeadershipRecord {
+	out := make(map[string]*LeadershipRecord, len(offered))
 	maps.Copy(out, current)
 	for service, r := range offered {
 		if old := out[service]; old == nil || old.Revision < r.Revision {
@@ -110,11 +110,11 @@
 
 // markLost replaces the records that are not on the store's list of the new era: they were lost when
 // the store was restored from an older copy.
-func markLost(records map[string]*Reign, era int64) map[string]*Reign {
-	out := make(map[string]*Reign, len(records))
+func markLost(records map[string]*LeadershipRecord, era int64) map[string]*LeadershipRecord {
+	out := make(map[string]*LeadershipRecord, len(records))
 	for service, r := range records {
 		if EraOf(r.Revision) < era {
-			r = &Reign{Service: service, Lost: true}
+			r = &LeadershipRecord{Service: service, Lost: true}
 		}
 		out[service] = r
 	}
@@ -122,15 +122,15 @@
 }
 
 // SetLeadershipRecord installs one service's record unless the same or a later one is installed.
-func (h *Holder) SetReign(r *Reign) {
+func (h *Holder) SetLeadershipRecord(r *LeadershipRecord) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	old := h.Load()
-	if known := old.Reigns[r.Service]; known != nil && known.Revision >= r.Revision {
+	if known := old.LeadershipRecords[r.Service]; known != nil && known.Revision >= r.Revision {
 		return
 	}
 	next := *old
-	next.Reigns = laterRecords(old.Reigns, map[string]*Reign{r.Service: r})
+	next.LeadershipRecords = laterRecords(old.LeadershipRecords, map[string]*LeadershipRecord{r.Service: r})
 	h.publish(&next)
 }
 
--- a/catalog/holder_test.go
+++ b/catalog/holder_test.go
@@ -34,12 +34,12 @@
 // way round: each record is compared by its own revision.
 func TestLeadershipRecordsCompareByTheirOwnRevision(t *testing.T) {
 	h := NewHolder()
-	h.SetReign(&Reign{Service: "s", Revision: 5, Primary: "a"})
-	h.SetFleet(nil, map[string]*Reign{"s": {Service: "s", Revision: 4, Primary: "b"}, "t": {Service: "t", Revision: 3}}, 1)
-	require.Equal(t, target.ID("a"), h.Load().Reigns["s"].Primary)
-	require.NotNil(t, h.Load().Reigns["t"])
-	h.SetReign(&Reign{Service: "s", Revision: 5, Primary: "c"})
-	require.Equal(t, target.ID("a"), h.Load().Reigns["s"].Primary)
+	h.SetLeadershipRecord(&LeadershipRecord{Service: "s", Revision: 5, Primary: "a"})
+	h.SetFleet(nil, map[string]*LeadershipRecord{"s": {Service: "s", Revision: 4, Primary: "b"}, "t": {Service: "t", Revision: 3}}, 1)
+	require.Equal(t, target.ID("a"), h.Load().LeadershipRecords["s"].Primary)
+	require.NotNil(t, h.Load().LeadershipRecords["t"])
+	h.SetLeadershipRecord(&LeadershipRecord{Service: "s", Revision: 5, Primary: "c"})
+	require.Equal(t, target.ID("a"), h.Load().LeadershipRecords["s"].Primary)
 }
 
 func TestChangedIsClosedByTheNextChange(t *testing.T) {
--- a/catalog/listchange.go
+++ b/catalog/listchange.go
@@ -15,19 +15,19 @@
 // a later one. It is immutable.
 //
 // With it, a VM that joins costs the others the size of its entry and not of the full list.
-type ListChange[V Listed] struct {
+type ListChange[V ListEntry] struct {
 	// From and To are revisions of the store.
 	From, To int64
 	// Updated are the entries that were added or changed.
-	Other []V
+	Updated []V
 	// Removed are the names of the entries that were removed.
-	Gone []string
+	Removed []string
 	// Digest is the digest of the list that the change leads to.
 	Digest uint64
 }
 
 // ListEntry is an entry of a list.
-type Listed interface {
+type ListEntry interface {
 	comparable
 	// Name identifies the entry within its list.
 	Name() string
@@ -50,9 +50,9 @@
 }
 
 // list is a list, indexed by the names of its entries.
-type list[V Listed] map[string]V
+type list[V ListEntry] map[string]V
 
-func listOf[V Listed](entries []V) list[V] {
+func listOf[V ListEntry](entries []V) list[V] {
 	out := make(list[V], len(entries))
 	for _, v := range entries {
 		out[v.Name()] = v
@@ -87,12 +87,12 @@
 	out := &ListChange[V]{Digest: to.digest()}
 	for name, v := range to {
 		if old, ok := l[name]; !ok || old != v {
-			out.Other = append(out.Other, v)
+			out.Updated = append(out.Updated, v)
 		}
 	}
 	for name := range l {
 		if _, ok := to[name]; !ok {
-			out.Gone = append(out.Gone, name)
+			out.Removed = append(out.Removed, name)
 		}
 	}
 	return out
@@ -100,7 +100,7 @@
 
 func (c *ListChange[V]) from() int64 { return c.From }
 
-func (c *ListChange[V]) entries() int { return len(c.Other) + len(c.Gone) }
+func (c *ListChange[V]) entries() int { return len(c.Updated) + len(c.Removed) }
 
 // applied returns the result of the change on a list; false if the result does not have the digest
 // of the change.
@@ -112,10 +112,10 @@
 // list of the VM that sends the change.
 func (c *ListChange[V]) applied(base list[V]) (list[V], bool) {
 	out := maps.Clone(base)
-	for _, name := range c.Gone {
+	for _, name := range c.Removed {
 		delete(out, name)
 	}
-	for _, v := range c.Other {
+	for _, v := range c.Updated {
 		out[v.Name()] = v
 	}
 	return out, out.digest() == c.Digest
@@ -142,7 +142,7 @@
 
 // history holds the latest changes of a list, the oldest first; each starts from the revision that
 // the previous one ends with.
-type history[V Listed] []*ListChange[V]
+type history[V ListEntry] []*ListChange[V]
 
 // next returns the history with one more change. The first list starts an empty history.
 func (h history[V]) next(from, to list[V], before, after int64) history[V] {
@@ -169,19 +169,19 @@
 	out := &ListChange[V]{From: revision, To: last.To, Digest: last.Digest}
 	touched := make(map[string]bool)
 	for _, step := range chain {
-		for _, v := range step.Other {
+		for _, v := range step.Updated {
 			touched[v.Name()] = true
 		}
-		for _, name := range step.Gone {
+		for _, name := range step.Removed {
 			touched[name] = true
 		}
 	}
 	for name := range touched {
 		if v, ok := find(name); ok {
-			out.Other = append(out.Other, v)
+			out.Updated = append(out.Updated, v)
 			continue
 		}
-		out.Gone = append(out.Gone, name)
+		out.Removed = append(out.Removed, name)
 	}
 	if out.entries() >= size {
 		return nil
--- a/catalog/listchange_test.go
+++ b/catalog/listchange_test.go
@@ -68,7 +68,7 @@
 	h.SetFleet(append([]VM{early}, many...), nil, 10)
 	h.SetFleet(append([]VM{early, late}, many...), nil, 12)
 	change := h.Load().FleetSince(10)
-	require.Equal(t, []VM{late}, change.Other)
+	require.Equal(t, []VM{late}, change.Updated)
 	_, ok := ApplyVMs(change, many)
 	require.False(t, ok)
 	vms, ok := ApplyVMs(change, append(slices.Clone(many), early))
--- a/catalog/revision_test.go
+++ b/catalog/revision_test.go
@@ -25,12 +25,12 @@
 // that is already known marks records as lost.
 func TestRecordsThatTheStoreHasLost(t *testing.T) {
 	h := NewHolder()
-	h.SetFleet(nil, map[string]*Reign{"a": {Service: "a", Revision: RevisionOf(1, 450), Attempt: &Attempt{}}, "b": {Service: "b", Revision: RevisionOf(1, 300)}}, RevisionOf(1, 500))
-	h.SetFleet(nil, map[string]*Reign{"b": {Service: "b", Revision: RevisionOf(2, 300), Era: 1}}, RevisionOf(2, 310))
+	h.SetFleet(nil, map[string]*LeadershipRecord{"a": {Service: "a", Revision: RevisionOf(1, 450), Attempt: &Attempt{}}, "b": {Service: "b", Revision: RevisionOf(1, 300)}}, RevisionOf(1, 500))
+	h.SetFleet(nil, map[string]*LeadershipRecord{"b": {Service: "b", Revision: RevisionOf(2, 300), Era: 1}}, RevisionOf(2, 310))
 	c := h.Load()
-	require.Equal(t, &Reign{Service: "a", Lost: true}, c.Reigns["a"])
-	require.EqualValues(t, 1, c.Reigns["b"].Era)
+	require.Equal(t, &LeadershipRecord{Service: "a", Lost: true}, c.LeadershipRecords["a"])
+	require.EqualValues(t, 1, c.LeadershipRecords["b"].Era)
 	require.False(t, h.SetFleet(nil, nil, RevisionOf(1, 900)), "a late list of the era before")
-	h.SetReign(&Reign{Service: "a", Revision: RevisionOf(2, 311), Era: 2})
-	require.False(t, h.Load().Reigns["a"].Lost)
+	h.SetLeadershipRecord(&LeadershipRecord{Service: "a", Revision: RevisionOf(2, 311), Era: 2})
+	require.False(t, h.Load().LeadershipRecords["a"].Lost)
 }
--- a/controller/exchange_messages.go
+++ b/controller/exchange_messages.go
@@ -27,7 +27,7 @@
 		Zone:        r.VM.Zone,
 		Addr:        r.VM.Addr,
 		Incarnation: r.Incarnation,
-		HeardMs:     uint64(max(r.HeardAge, 0).Milliseconds()),
+		HeardMs:     uint64(max(r.ContactAge, 0).Milliseconds()),
 		Leaving:     r.Leaving,
 	}
 }
@@ -36,7 +36,7 @@
 	return membership.Record{
 		VM:          membership.VM{ID: m.GetVm(), Zone: m.GetZone(), Addr: m.GetAddr()},
 		Incarnation: m.GetIncarnation(),
-		HeardAge:    time.Duration(m.GetHeardMs()) * time.Millisecond,
+		ContactAge:  time.Duration(m.GetHeardMs()) * time.Millisecond,
 		Leaving:     m.GetLeaving(),
 	}
 }
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -159,8 +159,8 @@
 	e.limits = newLimits(e)
 	e.local = &dispatch.Local{Pool: e.pool, Groups: e.groups, Clock: e.clk}
 	statuses := relay.NewStatuses(e.pool, e.clk)
-	e.router = relay.NewRouter(relay.RouterConfig{Local: e.local, Asker: e.pool, Statuses: statuses, Groups: e.groups, Clock: e.clk, Log: log, Dial: e.dialFor(spending.Relay)})
-	e.relay = relay.NewServer(relay.ServerConfig{Local: e.local, Asker: e.pool, Statuses: statuses, Groups: e.groups, Clock: e.clk, Log: log, Serves: e.relays, Idle: e.relayIdle, Draw: e.limits.Draw})
+	e.router = relay.NewRouter(relay.RouterConfig{Local: e.local, Control: e.pool, Statuses: statuses, Groups: e.groups, Clock: e.clk, Log: log, Dial: e.dialFor(spending.Relay)})
+	e.relay = relay.NewServer(relay.ServerConfig{Local: e.local, Control: e.pool, Statuses: statuses, Groups: e.groups, Clock: e.clk, Log: log, Serves: e.relays, Idle: e.relayIdle, Draw: e.limits.Draw})
 	e.counts = engine.NewMetrics(e.metrics)
 	e.engine = engine.New(engine.Config{
 		Catalog: e.catalog, Groups: e.groups, Runner: e.router, Placing: e.placing, Clock: e.clk,
--- a/edge/fleetfollower.go
+++ b/edge/fleetfollower.go
@@ -59,11 +59,11 @@
 type fleetFollower struct {
 	edge   *Edge
 	vms    map[string]catalog.VM
-	reigns map[string]*catalog.Reign
+	reigns map[string]*catalog.LeadershipRecord
 }
 
 func newFleetFollower(e *Edge) *fleetFollower {
-	return &fleetFollower{edge: e, vms: make(map[string]catalog.VM), reigns: make(map[string]*catalog.Reign)}
+	return &fleetFollower{edge: e, vms: make(map[string]catalog.VM), reigns: make(map[string]*catalog.LeadershipRecord)}
 }
 
 func (f *fleetFollower) replace(items map[string]*objects.Object) {
@@ -106,12 +106,12 @@
 	f.vms[node] = vm
 }
 
-func decodeReign(service string, o *objects.Object) (*catalog.Reign, error) {
+func decodeReign(service string, o *objects.Object) (*catalog.LeadershipRecord, error) {
 	var r reignRecord
 	if err := json.Unmarshal(o.Spec, &r); err != nil {
 		return nil, errors.Wrap(err, "decode reign")
 	}
-	out := &catalog.Reign{Service: service, Revision: o.Meta.Revision, Primary: r.Primary, Holder: r.Holder, Era: r.Era}
+	out := &catalog.LeadershipRecord{Service: service, Revision: o.Meta.Revision, Primary: r.Primary, Holder: r.Holder, Era: r.Era}
 	if r.Attempt != nil {
 		out.Attempt = &catalog.Attempt{Holder: r.Holder, Nonce: r.Attempt.Nonce, Deposed: r.Attempt.Deposed}
 	}
@@ -127,7 +127,7 @@
 	for _, vm := range f.vms {
 		vms = append(vms, vm)
 	}
-	reigns := make(map[string]*catalog.Reign, len(f.reigns))
+	reigns := make(map[string]*catalog.LeadershipRecord, len(f.reigns))
 	for service, r := range f.reigns {
 		reigns[service] = r
 	}
--- a/edge/gossip.go
+++ b/edge/gossip.go
@@ -71,13 +71,13 @@
 	return gossip.NewHTTPServer(mux).Serve(ln)
 }
 
-// Know implements gossip.Source.
-func (g *gossiper) Know() gossip.Knowledge {
+// State implements gossip.Source.
+func (g *gossiper) State() gossip.LocalState {
 	now := g.edge.clk.Now()
 	c := g.edge.catalog.Load()
-	k := gossip.Knowledge{
+	k := gossip.LocalState{
 		Catalog: c, Proofs: make(map[string]freshness.Proof), Acknowledged: make(map[string]timeline.Position),
-		Marks: g.edge.marks(c), Silences: g.edge.router.Silences(),
+		Confirmations: g.edge.marks(c), Unreachable: g.edge.router.UnreachablePeers(),
 	}
 	for _, group := range g.edge.groups.Used() {
 		if p, ok := group.Freshness.Newest(); ok && now.Sub(p.At) < proofAge {
@@ -167,8 +167,8 @@
 //
 // Failure guarded against: every proof reaches every VM, whether anybody there
 // needs it or not. At 2,900 services that is 1.4 MB a second for each VM.
-func (g *gossiper) question() gossip.Question {
-	q := gossip.Question{Self: g.edge.set.Node, Known: g.edge.catalog.Load(), Selects: !g.edge.groups.Few(), Whole: g.whole.Load()}
+func (g *gossiper) question() gossip.PullOptions {
+	q := gossip.PullOptions{Self: g.edge.set.Node, Known: g.edge.catalog.Load(), Selects: !g.edge.groups.Few(), FullLists: g.whole.Load()}
 	if q.Selects {
 		for _, group := range g.edge.groups.Used() {
 			q.Services = append(q.Services, group.Service)
@@ -201,7 +201,7 @@
 // fetch reads the lists that were too large for a peer's answer, one at a time: two would
 // share this VM's link, and the same list from two peers would fill it twice. What is
 // not read now is offered again by whoever is asked next.
-func (g *gossiper) fetch(ctx context.Context, vm catalog.VM, q gossip.Question, bulks []gossip.Bulk) {
+func (g *gossiper) fetch(ctx context.Context, vm catalog.VM, q gossip.PullOptions, bulks []gossip.Bulk) {
 	if len(bulks) == 0 || g.fetching.Swap(true) {
 		return
 	}
@@ -224,7 +224,7 @@
 	for _, vm := range c.VMs {
 		addrs[vm.Peer], names[vm.ID] = true, true
 	}
-	g.clients.Keep(addrs)
+	g.clients.Retain(addrs)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for vm := range g.silent {
@@ -235,7 +235,7 @@
 }
 
 // take takes over what a peer told.
-func (g *gossiper) take(n *gossip.News) {
+func (g *gossiper) take(n *gossip.Update) {
 	e := g.edge
 	for service, p := range n.Proofs {
 		e.groups.Group(service).Hear(p, n.Acknowledged[service])
@@ -253,12 +253,12 @@
 		g.whole.Store(false)
 	}
 	if n.Fleet != nil {
-		e.catalog.SetFleet(n.Fleet.VMs, n.Fleet.Reigns, n.Fleet.Revision)
+		e.catalog.SetFleet(n.Fleet.VMs, n.Fleet.LeadershipRecords, n.Fleet.Revision)
 	}
-	for addr, at := range n.Silences {
-		e.router.HeardSilent(addr, at)
+	for addr, at := range n.Unreachable {
+		e.router.RecordUnreachable(addr, at)
 	}
-	for l, m := range n.Marks {
+	for l, m := range n.Confirmations {
 		e.eras.noteRevision(m.Revision)
 		e.recency.Note(l, m)
 	}
@@ -270,7 +270,7 @@
 // RevokeAll implements promoter.Fleet. The list is read anew, so that no VM
 // is missed that joined before the attempt was recorded; one that joins later
 // sees the attempt before it sees itself on the list.
-func (g *gossiper) RevokeAll(ctx context.Context, held *catalog.Reign) bool {
+func (g *gossiper) RevokeAll(ctx context.Context, held *catalog.LeadershipRecord) bool {
 	vms, err := g.edge.listVMs(ctx)
 	if err != nil {
 		g.edge.log.Info("fleet-unlisted", zap.String("service", held.Service), zap.Error(err))
--- a/edge/gossip_internal_test.go
+++ b/edge/gossip_internal_test.go
@@ -22,13 +22,13 @@
 	e := &Edge{set: &boot.Settings{}, catalog: catalog.NewHolder(), clk: monotonic.New(), log: zap.NewNop()}
 	e.groups = groups.NewRegistry(groups.Config{Catalog: e.catalog, Clock: e.clk, Log: e.log})
 	g := &gossiper{edge: e}
-	require.False(t, g.question().Whole)
-	g.take(&gossip.News{Diverged: true})
-	require.True(t, g.question().Whole)
-	g.take(&gossip.News{})
-	require.True(t, g.question().Whole, "a peer with no news says nothing of it")
-	g.take(&gossip.News{Fleet: &gossip.Fleet{Revision: 7}})
-	require.False(t, g.question().Whole)
+	require.False(t, g.question().FullLists)
+	g.take(&gossip.Update{Diverged: true})
+	require.True(t, g.question().FullLists)
+	g.take(&gossip.Update{})
+	require.True(t, g.question().FullLists, "a peer with no news says nothing of it")
+	g.take(&gossip.Update{Fleet: &gossip.Fleet{Revision: 7}})
+	require.False(t, g.question().FullLists)
 }
 
 // Some VMs have not answered for a while, one only just now, and one is off the list.
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -184,7 +184,7 @@
 func (l *limits) awake(owners []catalog.VM) ([]catalog.VM, time.Duration) {
 	out := make([]catalog.VM, 0, len(owners))
 	for _, vm := range owners {
-		if vm.ID == l.edge.set.Node || !l.edge.router.Rests(vm) {
+		if vm.ID == l.edge.set.Node || !l.edge.router.InBackoff(vm) {
 			out = append(out, vm)
 		}
 	}
--- a/edge/reigns.go
+++ b/edge/reigns.go
@@ -24,13 +24,13 @@
 var errTaken = errors.New("another VM has changed the record")
 
 // Begin records an attempt on top of the record that is known.
-func (r reigns) Begin(ctx context.Context, known *catalog.Reign, a catalog.Attempt) (*catalog.Reign, error) {
+func (r reigns) Begin(ctx context.Context, known *catalog.LeadershipRecord, a catalog.Attempt) (*catalog.LeadershipRecord, error) {
 	spec := reignRecord{Primary: known.Primary, Holder: a.Holder, Attempt: &attemptRecord{Nonce: a.Nonce, Deposed: a.Deposed}}
 	return r.write(ctx, known, spec)
 }
 
 // End takes the attempt away.
-func (r reigns) End(ctx context.Context, held *catalog.Reign, primary target.ID) error {
+func (r reigns) End(ctx context.Context, held *catalog.LeadershipRecord, primary target.ID) error {
 	_, err := r.write(ctx, held, reignRecord{Primary: primary, Holder: held.Holder})
 	return err
 }
@@ -39,7 +39,7 @@
 // whose answer was lost is read back: it may have been made, and it may still
 // be made later, as long as the record has the revision that it asks for. One that was
 // made in a later era of the store than that of the revision counts for nothing.
-func (r reigns) write(ctx context.Context, known *catalog.Reign, spec reignRecord) (*catalog.Reign, error) {
+func (r reigns) write(ctx context.Context, known *catalog.LeadershipRecord, spec reignRecord) (*catalog.LeadershipRecord, error) {
 	name := prefixReign + known.Service
 	spec.Era = r.edge.eras.current()
 	o, err := r.put(ctx, name, known.Revision, spec)
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.edge.catalog.SetReign(now)
+	r.edge.catalog.SetLeadershipRecord(now)
 	if now.Era != catalog.EraOf(now.Revision) {
 		return nil, &objects.EraError{Done: true}
 	}
@@ -72,10 +72,10 @@
 }
 
 // Current returns the service's record as the store has it now, and takes it over.
-func (r reigns) Current(ctx context.Context, service string) (*catalog.Reign, error) {
+func (r reigns) Current(ctx context.Context, service string) (*catalog.LeadershipRecord, error) {
 	o, err := r.edge.store.Get(ctx, kindFleet, prefixReign+service)
 	if errors.Is(err, objects.ErrNotFound) {
-		return &catalog.Reign{Service: service, Era: r.edge.eras.ofMissing()}, nil
+		return &catalog.LeadershipRecord{Service: service, Era: r.edge.eras.ofMissing()}, nil
 	}
 	if err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.edge.catalog.SetReign(now)
+	r.edge.catalog.SetLeadershipRecord(now)
 	return now, nil
 }
 
@@ -112,7 +112,7 @@
 }
 
 // sameAttempt reports whether a record carries the change that we sent.
-func sameAttempt(now *catalog.Reign, spec reignRecord) bool {
+func sameAttempt(now *catalog.LeadershipRecord, spec reignRecord) bool {
 	if now.Attempt == nil || spec.Attempt == nil {
 		return now.Attempt == nil && spec.Attempt == nil && now.Primary == spec.Primary
 	}
--- a/edge/relays.go
+++ b/edge/relays.go
@@ -35,10 +35,10 @@
 
 // Control implements groups.Asker.
 func (a asker) Control(ctx context.Context, id target.ID, ask lane.Command, timeout time.Duration) ([]string, error) {
-	return relay.Asker{Router: a.edge.router}.Control(ctx, id, ask, timeout)
+	return relay.ControlClient{Router: a.edge.router}.Control(ctx, id, ask, timeout)
 }
 
 // Recent implements groups.Asker.
 func (a asker) Recent(ctx context.Context, id target.ID, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
-	return relay.Asker{Router: a.edge.router}.Recent(ctx, id, maxAge, timeout)
+	return relay.ControlClient{Router: a.edge.router}.Recent(ctx, id, maxAge, timeout)
 }
--- a/gossip/bulk_test.go
+++ b/gossip/bulk_test.go
@@ -23,10 +23,10 @@
 )
 
 // largeState is the state of a VM with a configuration of the size that the users plan for.
-func largeState() Knowledge {
+func largeState() LocalState {
 	h := catalog.NewHolder()
 	h.SetConfig(many(7, time.Second))
-	return Knowledge{Catalog: h.Load()}
+	return LocalState{Catalog: h.Load()}
 }
 
 // Failure guarded against: a reply grows with the lists that it carries, until it no longer arrives
@@ -44,7 +44,7 @@
 	}))
 	defer server.Close()
 	c, addr := NewClients((&net.Dialer{}).DialContext, &manualClock{}), strings.TrimPrefix(server.URL, "http://")
-	q := Question{Self: "me", Known: &catalog.Catalog{}}
+	q := PullOptions{Self: "me", Known: &catalog.Catalog{}}
 	n, err := c.Pull(context.Background(), addr, q)
 	require.NoError(t, err)
 	require.Nil(t, n.Config)
--- a/gossip/client.go
+++ b/gossip/client.go
@@ -47,7 +47,7 @@
 
 // Retain drops the clients of peers whose address is not in addrs: a fleet replaces hundreds of VMs
 // a day.
-func (c *Clients) Keep(addrs map[string]bool) {
+func (c *Clients) Retain(addrs map[string]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for addr := range c.byAddr {
@@ -67,7 +67,7 @@
 }
 
 // Update is what a peer sent in reply to a pull.
-type News struct {
+type Update struct {
 	// Proofs by service, with their times on this VM's clock.
 	Proofs map[string]freshness.Proof
 	// Acknowledged are positions that new primaries must hold, by service.
@@ -82,15 +82,15 @@
 	// VM: the next pull must request full lists.
 	Diverged bool
 	// Unreachable are the peers, by address, that some VM recently could not reach, and when.
-	Silences map[string]clock.Time
+	Unreachable map[string]clock.Time
 	// Confirmations are the peer's evidence that its copies of the lists are up to date.
-	Marks map[recency.List]recency.Mark
+	Confirmations map[recency.List]recency.Mark
 	// Bulks are lists that are too large for the reply; Fetch reads them.
 	Bulks []Bulk
 }
 
 // PullOptions are the parameters of a pull.
-type Question struct {
+type PullOptions struct {
 	// Self is the name of the VM that pulls.
 	Self string
 	// Known is the catalog of that VM: the peer sends only what is newer.
@@ -99,15 +99,15 @@
 	Selects  bool
 	Services []string
 	// FullLists requests full lists instead of changes.
-	Whole bool
+	FullLists bool
 }
 
 // Pull requests from a peer what is newer than q.Known.
-func (c *Clients) Pull(ctx context.Context, addr string, q Question) (*News, error) {
+func (c *Clients) Pull(ctx context.Context, addr string, q PullOptions) (*Update, error) {
 	known := q.Known
 	in := &gossippb.PullRequest{
 		Vm: q.Self, ConfigVersion: known.ConfigVersion(), TargetsRevision: known.TargetsRevision, FleetRevision: known.FleetRevision,
-		TakesChanges: !q.Whole, TakesBulks: true, Selects: q.Selects, Services: q.Services,
+		TakesChanges: !q.FullLists, TakesBulks: true, Selects: q.Selects, Services: q.Services,
 	}
 	sent := c.clk.Now()
 	out, err := c.client(addr).Pull(ctx, in)
--- a/gossip/convert.go
+++ b/gossip/convert.go
@@ -20,9 +20,9 @@
 
 // Fleet is the fleet's list with the leadership records, at a revision of the store.
 type Fleet struct {
-	Revision int64
-	VMs      []catalog.VM
-	Reigns   map[string]*catalog.Reign
+	Revision          int64
+	VMs               []catalog.VM
+	LeadershipRecords map[string]*catalog.LeadershipRecord
 }
 
 func position(term, number uint64) timeline.Position {
@@ -59,8 +59,8 @@
 // updateOf decodes a reply. It subtracts the ages in the reply from the time at which the request
 // was sent. The peer sent the reply later than that, so that no time is later than the true one.
 // Changes are applied to known, the catalog that the request announced.
-func updateOf(in *gossippb.PullReply, known *catalog.Catalog, sent clock.Time) *News {
-	n := &News{Proofs: make(map[string]freshness.Proof, len(in.GetEvidence())), Acknowledged: make(map[string]timeline.Position)}
+func updateOf(in *gossippb.PullReply, known *catalog.Catalog, sent clock.Time) *Update {
+	n := &Update{Proofs: make(map[string]freshness.Proof, len(in.GetEvidence())), Acknowledged: make(map[string]timeline.Position)}
 	for _, e := range in.GetEvidence() {
 		n.Proofs[e.GetService()], n.Acknowledged[e.GetService()] = ProofOf(e, sent)
 	}
@@ -100,31 +100,31 @@
 	return &gossippb.Mark{Version: m.Version, Revision: m.Revision, AgeUs: uint64(max(m.Age(now).Microseconds(), 0)) + 1}
 }
 
-func (n *News) addConfirmation(l recency.List, m *gossippb.Mark, sent clock.Time) {
+func (n *Update) addConfirmation(l recency.List, m *gossippb.Mark, sent clock.Time) {
 	if m == nil {
 		return
 	}
-	if n.Marks == nil {
-		n.Marks = make(map[recency.List]recency.Mark)
+	if n.Confirmations == nil {
+		n.Confirmations = make(map[recency.List]recency.Mark)
 	}
-	n.Marks[l] = recency.Mark{Version: m.GetVersion(), Revision: m.GetRevision(), At: sent.Add(-microseconds(m.GetAgeUs()))}
+	n.Confirmations[l] = recency.Mark{Version: m.GetVersion(), Revision: m.GetRevision(), At: sent.Add(-microseconds(m.GetAgeUs()))}
 }
 
-func (n *News) addUnreachable(peer string, at clock.Time) {
-	if n.Silences == nil {
-		n.Silences = make(map[string]clock.Time)
+func (n *Update) addUnreachable(peer string, at clock.Time) {
+	if n.Unreachable == nil {
+		n.Unreachable = make(map[string]clock.Time)
 	}
-	n.Silences[peer] = at
+	n.Unreachable[peer] = at
 }
 
 // setFleet sets the fleet's list, or applies the change of it. The leadership records have
 // revisions of their own, whichever list they arrive with.
-func (n *News) setFleet(in *gossippb.Fleet, known *catalog.Catalog) {
+func (n *Update) setFleet(in *gossippb.Fleet, known *catalog.Catalog) {
 	n.Fleet = fleet(in)
 	if in.GetFrom() == 0 {
 		return
 	}
-	change := &catalog.ListChange[catalog.VM]{From: in.GetFrom(), To: in.GetRevision(), Other: n.Fleet.VMs, Gone: in.GetGone(), Digest: in.GetDigest()}
+	change := &catalog.ListChange[catalog.VM]{From: in.GetFrom(), To: in.GetRevision(), Updated: n.Fleet.VMs, Removed: in.GetGone(), Digest: in.GetDigest()}
 	vms, ok := catalog.ApplyVMs(change, known.VMs)
 	n.Fleet.VMs = vms
 	if !ok {
@@ -133,14 +133,14 @@
 }
 
 // setTargets is setFleet for the list of targets.
-func (n *News) setTargets(in *gossippb.Targets, known *catalog.Catalog) {
+func (n *Update) setTargets(in *gossippb.Targets, known *catalog.Catalog) {
 	n.Targets = targets(in)
 	if in.GetFrom() == 0 {
 		return
 	}
-	change := &catalog.ListChange[catalog.Target]{From: in.GetFrom(), To: in.GetRevision(), Gone: in.GetGone(), Digest: in.GetDigest()}
+	change := &catalog.ListChange[catalog.Target]{From: in.GetFrom(), To: in.GetRevision(), Removed: in.GetGone(), Digest: in.GetDigest()}
 	for _, t := range n.Targets.Targets {
-		change.Other = append(change.Other, *t)
+		change.Updated = append(change.Updated, *t)
 	}
 	all, ok := catalog.ApplyTargets(change, known.Targets)
 	n.Targets.Targets = all
@@ -242,9 +242,9 @@
 		}
 		return out
 	}
-	out.From, out.Gone, out.Digest = change.From, change.Gone, change.Digest
-	for i := range change.Other {
-		out.Targets = append(out.Targets, targetOf(&change.Other[i]))
+	out.From, out.Gone, out.Digest = change.From, change.Removed, change.Digest
+	for i := range change.Updated {
+		out.Targets = append(out.Targets, targetOf(&change.Updated[i]))
 	}
 	return out
 }
@@ -274,13 +274,13 @@
 	out := &gossippb.Fleet{Revision: c.FleetRevision}
 	vms := c.VMs
 	if change != nil {
-		vms = change.Other
-		out.From, out.Gone, out.Digest = change.From, change.Gone, change.Digest
+		vms = change.Updated
+		out.From, out.Gone, out.Digest = change.From, change.Removed, change.Digest
 	}
 	for _, vm := range vms {
 		out.Vms = append(out.Vms, &gossippb.VM{Id: vm.ID, Zone: vm.Zone, Peer: vm.Peer, Incarnation: vm.Incarnation, Capacity: vm.Capacity})
 	}
-	for _, r := range c.Reigns {
+	for _, r := range c.LeadershipRecords {
 		if r.Revision > out.GetFrom() {
 			out.Reigns = append(out.Reigns, recordOf(r))
 		}
@@ -288,7 +288,7 @@
 	return out
 }
 
-func recordOf(r *catalog.Reign) *gossippb.Reign {
+func recordOf(r *catalog.LeadershipRecord) *gossippb.Reign {
 	out := &gossippb.Reign{Service: r.Service, Revision: r.Revision, Primary: string(r.Primary), Holder: r.Holder, Era: r.Era}
 	if r.Attempt != nil {
 		out.AttemptNonce, out.AttemptDeposed = r.Attempt.Nonce, string(r.Attempt.Deposed)
@@ -297,16 +297,16 @@
 }
 
 func fleet(in *gossippb.Fleet) *Fleet {
-	out := &Fleet{Revision: in.GetRevision(), Reigns: make(map[string]*catalog.Reign, len(in.GetReigns()))}
+	out := &Fleet{Revision: in.GetRevision(), LeadershipRecords: make(map[string]*catalog.LeadershipRecord, len(in.GetReigns()))}
 	for _, vm := range in.GetVms() {
 		out.VMs = append(out.VMs, catalog.VM{ID: vm.GetId(), Zone: vm.GetZone(), Peer: vm.GetPeer(), Incarnation: vm.GetIncarnation(), Capacity: vm.GetCapacity()})
 	}
 	for _, r := range in.GetReigns() {
-		record := &catalog.Reign{Service: r.GetService(), Revision: r.GetRevision(), Primary: target.ID(r.GetPrimary()), Holder: r.GetHolder(), Era: r.GetEra()}
+		record := &catalog.LeadershipRecord{Service: r.GetService(), Revision: r.GetRevision(), Primary: target.ID(r.GetPrimary()), Holder: r.GetHolder(), Era: r.GetEra()}
 		if r.GetAttemptNonce() != "" {
 			record.Attempt = &catalog.Attempt{Holder: r.GetHolder(), Nonce: r.GetAttemptNonce(), Deposed: target.ID(r.GetAttemptDeposed())}
 		}
-		out.Reigns[r.GetService()] = record
+		out.LeadershipRecords[r.GetService()] = record
 	}
 	return out
 }
--- a/gossip/fetch.go
+++ b/gossip/fetch.go
@@ -44,7 +44,7 @@
 
 // Fetch reads a bulk that the peer has offered in its reply to a pull. A range that does not arrive
 // is requested again; the ranges before it are kept.
-func (c *Clients) Fetch(ctx context.Context, addr string, q Question, b Bulk) (*News, error) {
+func (c *Clients) Fetch(ctx context.Context, addr string, q PullOptions, b Bulk) (*Update, error) {
 	if b.size > maxBulkBytes {
 		return nil, errors.Errorf("read bulk from %s: size of %d bytes exceeds the limit", addr, b.size)
 	}
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -27,17 +27,17 @@
 func (m *manualClock) Now() clock.Time { return m.now }
 
 type source struct {
-	known   Knowledge
+	known   LocalState
 	revoked map[string]int64
 }
 
-func (s *source) Know() Knowledge { return s.known }
+func (s *source) State() LocalState { return s.known }
 func (s *source) Revoke(service string, r int64, _ target.ID) timeline.Position {
 	s.revoked[service] = r
 	return timeline.Position{Term: 3, LSN: 9}
 }
 
-func start(t *testing.T, k Knowledge, server clock.Clock, client clock.Clock) (*source, *Clients, string) {
+func start(t *testing.T, k LocalState, server clock.Clock, client clock.Clock) (*source, *Clients, string) {
 	t.Helper()
 	s := &source{known: k, revoked: make(map[string]int64)}
 	h := httptest.NewServer(NewHandler(s, nil, server))
@@ -53,20 +53,20 @@
 		Services: map[string]*catalog.Service{"s": {Name: "s", MaxConnections: 23, SyncReplicas: 1}}})
 	h.SetTargets(map[target.ID]*catalog.Target{"a": {ID: "a", Service: "s", Addr: "x:1", Zone: "z", Slots: 3, Draining: true, Role: target.RolePrimary}}, 20)
 	h.SetFleet([]catalog.VM{{ID: "vm", Zone: "z", Peer: "y:2", Incarnation: "vm-1", Capacity: 0.4}},
-		map[string]*catalog.Reign{"s": {Service: "s", Revision: 21, Primary: "a", Holder: "vm", Attempt: &catalog.Attempt{Holder: "vm", Nonce: "n", Deposed: "a"}}}, 22)
+		map[string]*catalog.LeadershipRecord{"s": {Service: "s", Revision: 21, Primary: "a", Holder: "vm", Attempt: &catalog.Attempt{Holder: "vm", Nonce: "n", Deposed: "a"}}}, 22)
 	return h.Load()
 }
 
 func TestPullReturnsOnlyNewerData(t *testing.T) {
 	known := full()
-	_, c, addr := start(t, Knowledge{Catalog: known}, &manualClock{}, &manualClock{})
-	n, err := c.Pull(context.Background(), addr, Question{Self: "me", Known: &catalog.Catalog{}})
+	_, c, addr := start(t, LocalState{Catalog: known}, &manualClock{}, &manualClock{})
+	n, err := c.Pull(context.Background(), addr, PullOptions{Self: "me", Known: &catalog.Catalog{}})
 	require.NoError(t, err)
 	require.Equal(t, known.Config, n.Config)
 	require.Equal(t, known.Targets, n.Targets.Targets)
 	require.Equal(t, known.VMs, n.Fleet.VMs)
-	require.Equal(t, known.Reigns, n.Fleet.Reigns)
-	n, err = c.Pull(context.Background(), addr, Question{Self: "me", Known: known})
+	require.Equal(t, known.LeadershipRecords, n.Fleet.LeadershipRecords)
+	n, err = c.Pull(context.Background(), addr, PullOptions{Self: "me", Known: known})
 	require.NoError(t, err)
 	require.Nil(t, n.Config)
 	require.Nil(t, n.Targets)
@@ -79,8 +79,8 @@
 func TestProofIsNeverMoreRecentThanItIs(t *testing.T) {
 	theirs, ours := &manualClock{now: clock.Time(time.Hour)}, &manualClock{now: clock.Time(time.Minute)}
 	p := freshness.Proof{Term: 2, Leader: "a", At: theirs.now.Add(-300 * time.Millisecond), Position: timeline.Position{Term: 2, LSN: 7}}
-	_, c, addr := start(t, Knowledge{Catalog: full(), Proofs: map[string]freshness.Proof{"s": p}}, theirs, ours)
-	n, err := c.Pull(context.Background(), addr, Question{Self: "me", Known: full()})
+	_, c, addr := start(t, LocalState{Catalog: full(), Proofs: map[string]freshness.Proof{"s": p}}, theirs, ours)
+	n, err := c.Pull(context.Background(), addr, PullOptions{Self: "me", Known: full()})
 	require.NoError(t, err)
 	got := n.Proofs["s"]
 	require.LessOrEqual(t, got.At, ours.now.Add(-300*time.Millisecond))
@@ -94,25 +94,25 @@
 func TestConfirmationsArePerListAndNeverMoreRecent(t *testing.T) {
 	theirs, ours := &manualClock{now: clock.Time(time.Hour)}, &manualClock{now: clock.Time(time.Minute)}
 	confirmation := recency.Mark{Version: 9, Revision: 40, At: theirs.now.Add(-2 * time.Second)}
-	_, c, addr := start(t, Knowledge{Catalog: full(), Marks: map[recency.List]recency.Mark{recency.Config: confirmation}}, theirs, ours)
-	n, err := c.Pull(context.Background(), addr, Question{Self: "me", Known: full()})
+	_, c, addr := start(t, LocalState{Catalog: full(), Confirmations: map[recency.List]recency.Mark{recency.Config: confirmation}}, theirs, ours)
+	n, err := c.Pull(context.Background(), addr, PullOptions{Self: "me", Known: full()})
 	require.NoError(t, err)
-	require.Len(t, n.Marks, 1, "lists without a confirmation are left out")
-	got := n.Marks[recency.Config]
+	require.Len(t, n.Confirmations, 1, "lists without a confirmation are left out")
+	got := n.Confirmations[recency.Config]
 	require.Equal(t, []int64{9, 40}, []int64{got.Version, got.Revision})
 	require.LessOrEqual(t, got.At, ours.now.Add(-2*time.Second))
 	require.Greater(t, got.At, ours.now.Add(-2001*time.Millisecond))
 }
 
 func TestRevokeAndUnreachablePeer(t *testing.T) {
-	s, c, addr := start(t, Knowledge{Catalog: full()}, &manualClock{}, &manualClock{})
+	s, c, addr := start(t, LocalState{Catalog: full()}, &manualClock{}, &manualClock{})
 	out := c.RevokeAll(context.Background(), []string{addr}, Revocation{Service: "s", Revision: 30, Deposed: "a"})
 	require.Empty(t, out.Unanswered)
 	require.Equal(t, timeline.Position{Term: 3, LSN: 9}, out.Acknowledged)
 	require.EqualValues(t, 30, s.revoked["s"])
-	c.Keep(map[string]bool{})
+	c.Retain(map[string]bool{})
 	require.Empty(t, c.byAddr)
-	_, err := c.Pull(context.Background(), "127.0.0.1:1", Question{Self: "me", Known: full()})
+	_, err := c.Pull(context.Background(), "127.0.0.1:1", PullOptions{Self: "me", Known: full()})
 	require.Error(t, err)
 }
 
@@ -138,7 +138,7 @@
 	before, after := many(7, time.Second), many(8, 2*time.Second)
 	h.SetConfig(before)
 	h.SetConfig(after)
-	s := &Server{source: &source{known: Knowledge{Catalog: h.Load()}}, clk: &manualClock{}}
+	s := &Server{source: &source{known: LocalState{Catalog: h.Load()}}, clk: &manualClock{}}
 	reply := func(in *gossippb.PullRequest) *gossippb.PullReply {
 		out, err := s.Pull(context.Background(), in)
 		require.NoError(t, err)
@@ -160,9 +160,9 @@
 func TestPullReturnsProofsOfSelectedServices(t *testing.T) {
 	clk := &manualClock{now: clock.Time(time.Hour)}
 	proofs := map[string]freshness.Proof{"s": {Term: 1, At: clk.now}, "t": {Term: 1, At: clk.now}, "u": {Term: 1, At: clk.now}}
-	_, c, addr := start(t, Knowledge{Catalog: full(), Proofs: proofs}, clk, clk)
+	_, c, addr := start(t, LocalState{Catalog: full(), Proofs: proofs}, clk, clk)
 	pull := func(selects bool, services ...string) map[string]freshness.Proof {
-		n, err := c.Pull(context.Background(), addr, Question{Self: "me", Known: full(), Selects: selects, Services: services})
+		n, err := c.Pull(context.Background(), addr, PullOptions{Self: "me", Known: full(), Selects: selects, Services: services})
 		require.NoError(t, err)
 		return n.Proofs
 	}
@@ -189,13 +189,13 @@
 // VM.
 func TestOneVMCostsOneVM(t *testing.T) {
 	h := catalog.NewHolder()
-	h.SetFleet(manyVMs(), map[string]*catalog.Reign{"s": {Service: "s", Revision: 9}}, 10)
+	h.SetFleet(manyVMs(), map[string]*catalog.LeadershipRecord{"s": {Service: "s", Revision: 9}}, 10)
 	before := h.Load()
 	vms := manyVMs()
 	vms[7].Incarnation = "edge-0007-ffff"
-	h.SetFleet(vms, map[string]*catalog.Reign{"t": {Service: "t", Revision: 11}}, 11)
+	h.SetFleet(vms, map[string]*catalog.LeadershipRecord{"t": {Service: "t", Revision: 11}}, 11)
 	after := h.Load()
-	s := &Server{source: &source{known: Knowledge{Catalog: after}}, clk: &manualClock{}}
+	s := &Server{source: &source{known: LocalState{Catalog: after}}, clk: &manualClock{}}
 	pull := func(in *gossippb.PullRequest) *gossippb.PullReply {
 		out, err := s.Pull(context.Background(), in)
 		require.NoError(t, err)
@@ -205,8 +205,8 @@
 	require.Less(t, proto.Size(change), 200)
 	update := updateOf(change, before, 0)
 	require.Equal(t, after.VMs, update.Fleet.VMs)
-	require.Len(t, update.Fleet.Reigns, 1, "only the newer record")
-	require.NotNil(t, update.Fleet.Reigns["t"])
+	require.Len(t, update.Fleet.LeadershipRecords, 1, "only the newer record")
+	require.NotNil(t, update.Fleet.LeadershipRecords["t"])
 
 	other := *before
 	other.VMs = before.VMs[1:]
--- a/gossip/revoke.go
+++ b/gossip/revoke.go
@@ -36,7 +36,7 @@
 }
 
 // RevokeResult is the result of a Revocation.
-type Revoked struct {
+type RevokeResult struct {
 	// Acknowledged is the latest position that any peer that replied has recorded as acknowledged:
 	// a new primary must hold it.
 	Acknowledged timeline.Position
@@ -45,11 +45,11 @@
 	Unanswered map[string]error
 }
 
-func unanswered(addr string, cause error) Revoked {
-	return Revoked{Unanswered: map[string]error{addr: cause}}
+func unanswered(addr string, cause error) RevokeResult {
+	return RevokeResult{Unanswered: map[string]error{addr: cause}}
 }
 
-func (r *Revoked) add(o Revoked) {
+func (r *RevokeResult) add(o RevokeResult) {
 	r.Acknowledged = timeline.Later(r.Acknowledged, o.Acknowledged)
 	maps.Copy(r.Unanswered, o.Unanswered)
 }
@@ -60,11 +60,11 @@
 // the others, so that the calls of one VM grow with the square root of the fleet. A peer counts as
 // answered only if it received the revocation itself, directly or forwarded, and gave up its
 // permission.
-func (c *Clients) RevokeAll(ctx context.Context, addrs []string, r Revocation) Revoked {
+func (c *Clients) RevokeAll(ctx context.Context, addrs []string, r Revocation) RevokeResult {
 	if len(addrs) < branchFrom {
 		return c.revokeEach(ctx, addrs, r)
 	}
-	return gather(branches(addrs), func(branch []string) Revoked { return c.revokeBranch(ctx, branch, r) })
+	return gather(branches(addrs), func(branch []string) RevokeResult { return c.revokeBranch(ctx, branch, r) })
 }
 
 // branches splits a list into about as many branches as each branch has entries.
@@ -84,7 +84,7 @@
 // others count as answered while they keep their permissions. So the caller calls the others
 // directly unless the first peer reports that it has forwarded to all of them, and a peer that was
 // not called does not count as answered.
-func (c *Clients) revokeBranch(ctx context.Context, branch []string, r Revocation) Revoked {
+func (c *Clients) revokeBranch(ctx context.Context, branch []string, r Revocation) RevokeResult {
 	first, rest := branch[0], branch[1:]
 	out, forwarded, err := c.revoke(ctx, first, rest, r)
 	if err != nil {
@@ -97,15 +97,15 @@
 }
 
 // revokeLeaves calls peers on another VM's behalf.
-func (c *Clients) revokeLeaves(ctx context.Context, addrs []string, r Revocation) Revoked {
+func (c *Clients) revokeLeaves(ctx context.Context, addrs []string, r Revocation) RevokeResult {
 	ctx, cancel := context.WithTimeout(ctx, leafTimeout)
 	defer cancel()
 	return c.revokeEach(ctx, addrs, r)
 }
 
 // revokeEach calls each peer directly.
-func (c *Clients) revokeEach(ctx context.Context, addrs []string, r Revocation) Revoked {
-	return gather(addrs, func(addr string) Revoked {
+func (c *Clients) revokeEach(ctx context.Context, addrs []string, r Revocation) RevokeResult {
+	return gather(addrs, func(addr string) RevokeResult {
 		out, _, err := c.revoke(ctx, addr, nil, r)
 		if err != nil {
 			return unanswered(addr, err)
@@ -115,9 +115,9 @@
 }
 
 // gather calls revoke for all items concurrently and merges the results.
-func gather[T any](items []T, revoke func(T) Revoked) Revoked {
+func gather[T any](items []T, revoke func(T) RevokeResult) RevokeResult {
 	var mu sync.Mutex
-	all := Revoked{Unanswered: make(map[string]error)}
+	all := RevokeResult{Unanswered: make(map[string]error)}
 	var wg sync.WaitGroup
 	for _, item := range items {
 		wg.Go(func() {
@@ -132,13 +132,13 @@
 }
 
 // revoke makes one call. It reports whether the peer has called all peers in forward.
-func (c *Clients) revoke(ctx context.Context, addr string, forward []string, r Revocation) (Revoked, bool, error) {
+func (c *Clients) revoke(ctx context.Context, addr string, forward []string, r Revocation) (RevokeResult, bool, error) {
 	in := &gossippb.RevokeRequest{Service: r.Service, Revision: r.Revision, Deposed: string(r.Deposed), Forward: forward}
 	out, err := c.client(addr).Revoke(ctx, in)
 	if err != nil {
-		return Revoked{}, false, errors.Wrapf(err, "revoke at %s", addr)
+		return RevokeResult{}, false, errors.Wrapf(err, "revoke at %s", addr)
 	}
-	revoked := Revoked{Acknowledged: position(out.GetAcknowledgedTerm(), out.GetAcknowledgedNumber()), Unanswered: make(map[string]error)}
+	revoked := RevokeResult{Acknowledged: position(out.GetAcknowledgedTerm(), out.GetAcknowledgedNumber()), Unanswered: make(map[string]error)}
 	for _, leaf := range out.GetUnanswered() {
 		revoked.Unanswered[leaf] = errors.Errorf("no reply to the revocation that %s forwarded", addr)
 	}
--- a/gossip/revoke_test.go
+++ b/gossip/revoke_test.go
@@ -25,7 +25,7 @@
 	gaveUp   atomic.Int64
 }
 
-func (h *holder) Know() Knowledge { return Knowledge{Catalog: &catalog.Catalog{}} }
+func (h *holder) State() LocalState { return LocalState{Catalog: &catalog.Catalog{}} }
 
 func (h *holder) Revoke(_ string, revision int64, _ target.ID) timeline.Position {
 	h.gaveUp.Store(revision)
@@ -105,7 +105,7 @@
 }
 
 // checkAnswered checks that no VM that counts as answered still holds its permission.
-func (c *holderFleet) checkAnswered(t *testing.T, out Revoked, revision int64) {
+func (c *holderFleet) checkAnswered(t *testing.T, out RevokeResult, revision int64) {
 	t.Helper()
 	for i, h := range c.holders {
 		if _, missed := out.Unanswered[c.addrs[i]]; !missed {
@@ -114,7 +114,7 @@
 	}
 }
 
-func revokeIn(t *testing.T, n int, dead, old map[int]bool, check func(c *holderFleet, out Revoked)) {
+func revokeIn(t *testing.T, n int, dead, old map[int]bool, check func(c *holderFleet, out RevokeResult)) {
 	bubble.Test(t, func(t *testing.T) {
 		c := newHolderFleet(t, n, dead, old)
 		caller := c.clients("caller")
@@ -127,7 +127,7 @@
 // Failure guarded against: the primary of a fleet of 300 VMs dies, and one VM calls all others
 // directly, for which it has to open as many connections within a quarter of a second.
 func TestLargeFleetsAreRevokedInBranches(t *testing.T) {
-	revokeIn(t, 300, nil, nil, func(c *holderFleet, out Revoked) {
+	revokeIn(t, 300, nil, nil, func(c *holderFleet, out RevokeResult) {
 		require.Empty(t, out.Unanswered)
 		require.Equal(t, timeline.Position{Term: 1, LSN: 299}, out.Acknowledged)
 		require.Equal(t, 17, c.mostCalls())
@@ -138,7 +138,7 @@
 // reported as unanswered, whether they are the first of a branch or a leaf.
 func TestDeadPeersAreUnanswered(t *testing.T) {
 	const first, leaf = 18, 40
-	revokeIn(t, 300, map[int]bool{first: true, leaf: true}, nil, func(c *holderFleet, out Revoked) {
+	revokeIn(t, 300, map[int]bool{first: true, leaf: true}, nil, func(c *holderFleet, out RevokeResult) {
 		require.Len(t, out.Unanswered, 2)
 		require.Contains(t, out.Unanswered, addrOf(first))
 		require.Contains(t, out.Unanswered, addrOf(leaf))
@@ -148,7 +148,7 @@
 // Failure guarded against: during an upgrade of the fleet some VMs do not forward yet, and the peers
 // behind them keep their permissions unnoticed.
 func TestBranchesOfOldVersionsAreRevokedDirectly(t *testing.T) {
-	revokeIn(t, 300, nil, map[int]bool{0: true, 36: true, 40: true}, func(c *holderFleet, out Revoked) {
+	revokeIn(t, 300, nil, map[int]bool{0: true, 36: true, 40: true}, func(c *holderFleet, out RevokeResult) {
 		require.Empty(t, out.Unanswered)
 	})
 }
--- a/gossip/server.go
+++ b/gossip/server.go
@@ -19,7 +19,7 @@
 )
 
 // LocalState is the state of a VM that peers can pull.
-type Knowledge struct {
+type LocalState struct {
 	// Catalog is the VM's current catalog.
 	Catalog *catalog.Catalog
 	// Proofs are the VM's newest proofs of freshness, by service.
@@ -27,15 +27,15 @@
 	// Acknowledged are positions that new primaries must hold, by service.
 	Acknowledged map[string]timeline.Position
 	// Unreachable are the peers, by address, that recently could not be reached, and when.
-	Silences map[string]clock.Time
+	Unreachable map[string]clock.Time
 	// Confirmations are the evidence that the VM's copies of the store's lists are up to date.
-	Marks map[recency.List]recency.Mark
+	Confirmations map[recency.List]recency.Mark
 }
 
 // Source provides this VM's state, and takes revocations.
 type Source interface {
 	// State returns this VM's current state.
-	Know() Knowledge
+	State() LocalState
 	// Revoke ends this VM's permission for a service, and returns the position that the new primary
 	// must hold.
 	Revoke(service string, revision int64, deposed target.ID) timeline.Position
@@ -61,19 +61,19 @@
 
 // Pull implements gossippb.Gossip.
 func (s *Server) Pull(_ context.Context, in *gossippb.PullRequest) (*gossippb.PullReply, error) {
-	k := s.source.Know()
+	k := s.source.State()
 	now := s.clk.Now()
-	out := &gossippb.PullReply{StoreAgeUs: uint64(k.Marks[recency.Fleet].Age(now).Microseconds())}
+	out := &gossippb.PullReply{StoreAgeUs: uint64(k.Confirmations[recency.Fleet].Age(now).Microseconds())}
 	for service, p := range k.Proofs {
 		if in.GetSelects() && !slices.Contains(in.GetServices(), service) {
 			continue
 		}
 		out.Evidence = append(out.Evidence, EvidenceOf(service, p, k.Acknowledged[service], now))
 	}
-	for addr, at := range k.Silences {
+	for addr, at := range k.Unreachable {
 		out.Silences = append(out.Silences, &gossippb.Silence{Peer: addr, AgeUs: uint64(max(now.Sub(at).Microseconds(), 0))})
 	}
-	addConfirmations(out, k.Marks, now)
+	addConfirmations(out, k.Confirmations, now)
 	return out, s.addLists(out, in, k.Catalog)
 }
 
--- a/groups/group.go
+++ b/groups/group.go
@@ -121,7 +121,7 @@
 			zap.Int64("incarnation", t.Incarnation), zap.Int64("revision", c.TargetsRevision))
 		g.Leadership.Reborn(t.ID)
 	}
-	g.Leadership.Listed(targets, c.Reigns[g.Service])
+	g.Leadership.Listed(targets, c.LeadershipRecords[g.Service])
 	g.noteBelief()
 }
 
--- a/groups/lives.go
+++ b/groups/lives.go
@@ -52,7 +52,7 @@
 		return true
 	}
 	c := g.cfg.Catalog.Load()
-	r := c.Reigns[g.Service]
+	r := c.LeadershipRecords[g.Service]
 	replaced := r != nil && (r.Attempt != nil || (r.Primary != "" && r.Primary != g.believed.Primary))
 	if c.FleetRevision < l.since || replaced {
 		return false
--- a/groups/registry.go
+++ b/groups/registry.go
@@ -32,7 +32,7 @@
 type Records interface {
 	// Current returns the service's record as the store has it now. A service
 	// that no attempt was ever made for has an empty one.
-	Current(ctx context.Context, service string) (*catalog.Reign, error)
+	Current(ctx context.Context, service string) (*catalog.LeadershipRecord, error)
 }
 
 // Asker sends a target one of the fleet's own questions or orders and returns
--- a/groups/witness.go
+++ b/groups/witness.go
@@ -170,7 +170,7 @@
 
 // hasRevoked reports whether an attempt is under way, as far as is known.
 func (g *Group) hasRevoked() bool {
-	r := g.cfg.Catalog.Load().Reigns[g.Service]
+	r := g.cfg.Catalog.Load().LeadershipRecords[g.Service]
 	if r != nil && r.Attempt != nil {
 		return true
 	}
@@ -183,7 +183,7 @@
 // endedSince reports whether a record tells that the attempt of a revision has ended. One
 // of a later era of the store tells nothing of it: the attempt's own may be lost while its
 // holder goes on.
-func endedSince(r *catalog.Reign, revoked catalog.Revision) bool {
+func endedSince(r *catalog.LeadershipRecord, revoked catalog.Revision) bool {
 	return r.Revision > revoked && catalog.EraOf(r.Revision) == catalog.EraOf(revoked)
 }
 
@@ -201,7 +201,7 @@
 // the holder of the attempt. Nothing new is sent to it meanwhile, and nothing
 // that it confirms is acknowledged.
 func (g *Group) Deposing(id target.ID) bool {
-	r := g.cfg.Catalog.Load().Reigns[g.Service]
+	r := g.cfg.Catalog.Load().LeadershipRecords[g.Service]
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	ended := r != nil && r.Attempt == nil && endedSince(r, g.revoked)
--- a/groups/witness_test.go
+++ b/groups/witness_test.go
@@ -48,11 +48,11 @@
 
 // record is the store's, which counts how often it is read.
 type record struct {
-	reign catalog.Reign
+	reign catalog.LeadershipRecord
 	read  int
 }
 
-func (r *record) Current(context.Context, string) (*catalog.Reign, error) {
+func (r *record) Current(context.Context, string) (*catalog.LeadershipRecord, error) {
 	r.read++
 	return &r.reign, nil
 }
@@ -108,7 +108,7 @@
 func TestAReplacedPrimaryIsLookedUpOnceInAWhile(t *testing.T) {
 	clk := newAtomicClock()
 	h := catalog.NewHolder()
-	r := &record{reign: catalog.Reign{Service: "s", Revision: 9, Primary: "new"}}
+	r := &record{reign: catalog.LeadershipRecord{Service: "s", Revision: 9, Primary: "new"}}
 	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Asker: silentTargets{}, Records: r, Eligible: func() bool { return false }})
 	reg.Update(listing(h, 7, 10))
 	g := reg.Group("s")
@@ -121,7 +121,7 @@
 	require.ErrorIs(t, g.Prove(context.Background(), leadership.Belief{Primary: "q", Term: 4}, 0, clk.Now()), ErrSuperseded)
 	require.Equal(t, 2, r.read, "another belief is looked up")
 
-	r.reign = catalog.Reign{Service: "s", Revision: 12, Primary: "p"}
+	r.reign = catalog.LeadershipRecord{Service: "s", Revision: 12, Primary: "p"}
 	clk.pass(replacedLasts)
 	require.NoError(t, g.Prove(context.Background(), b, 0, clk.Now()), "it leads again")
 }
@@ -130,13 +130,13 @@
 func TestAnAttemptIsLookedUpAgainSoon(t *testing.T) {
 	clk := newAtomicClock()
 	h := catalog.NewHolder()
-	r := &record{reign: catalog.Reign{Service: "s", Revision: 9, Attempt: &catalog.Attempt{Deposed: "p"}}}
+	r := &record{reign: catalog.LeadershipRecord{Service: "s", Revision: 9, Attempt: &catalog.Attempt{Deposed: "p"}}}
 	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Asker: silentTargets{}, Records: r, Eligible: func() bool { return false }})
 	reg.Update(listing(h, 7, 10))
 	g := reg.Group("s")
 	b := leadership.Belief{Primary: "p", Term: 3}
 	require.ErrorIs(t, g.Prove(context.Background(), b, 0, clk.Now()), ErrSuperseded)
-	r.reign = catalog.Reign{Service: "s", Revision: 10, Primary: "p"}
+	r.reign = catalog.LeadershipRecord{Service: "s", Revision: 10, Primary: "p"}
 	clk.pass(replacingLasts)
 	require.NoError(t, g.Prove(context.Background(), b, 0, clk.Now()))
 }
@@ -145,16 +145,16 @@
 func TestRecordOfAnEarlierEraProvesNothing(t *testing.T) {
 	clk := newAtomicClock()
 	h := catalog.NewHolder()
-	r := &record{reign: catalog.Reign{Service: "s", Revision: catalog.RevisionOf(2, 9), Era: 1, Primary: "p"}}
+	r := &record{reign: catalog.LeadershipRecord{Service: "s", Revision: catalog.RevisionOf(2, 9), Era: 1, Primary: "p"}}
 	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Asker: silentTargets{}, Records: r, Eligible: func() bool { return false },
 		Era: func() int64 { return 2 }})
 	reg.Update(listing(h, 7, 10))
 	g := reg.Group("s")
 	b := leadership.Belief{Primary: "p", Term: 3}
 	require.ErrorIs(t, g.Prove(context.Background(), b, 0, clk.Now()), ErrNoWitness)
-	r.reign = catalog.Reign{Service: "s", Era: 1}
+	r.reign = catalog.LeadershipRecord{Service: "s", Era: 1}
 	require.ErrorIs(t, g.Prove(context.Background(), b, 0, clk.Now()), ErrNoWitness, "a record that is not there")
-	r.reign = catalog.Reign{Service: "s", Revision: catalog.RevisionOf(2, 12), Era: 2, Primary: "p"}
+	r.reign = catalog.LeadershipRecord{Service: "s", Revision: catalog.RevisionOf(2, 12), Era: 2, Primary: "p"}
 	require.NoError(t, g.Prove(context.Background(), b, 0, clk.Now()))
 }
 
@@ -165,7 +165,7 @@
 	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Eligible: func() bool { return true }})
 	g := reg.Group("s")
 	g.Revoke(catalog.RevisionOf(1, 450), "p")
-	h.SetReign(&catalog.Reign{Service: "s", Revision: catalog.RevisionOf(2, 300), Primary: "p"})
+	h.SetLeadershipRecord(&catalog.LeadershipRecord{Service: "s", Revision: catalog.RevisionOf(2, 300), Primary: "p"})
 	require.True(t, g.hasRevoked())
 	require.True(t, g.Deposing("p"))
 	clk.pass(takeover.Lapse)
--- a/internal/experiment/control/fleet.go
+++ b/internal/experiment/control/fleet.go
@@ -153,7 +153,7 @@
 func recordSize(r membership.Record) int {
 	return fieldOverhead + proto.Size(&peerpb.Member{
 		Vm: r.VM.ID, Zone: r.VM.Zone, Addr: r.VM.Addr, Incarnation: uint64(time.Second) * 1_800_000_000,
-		HeardMs: uint64(r.HeardAge.Milliseconds()), Leaving: r.Leaving,
+		HeardMs: uint64(r.ContactAge.Milliseconds()), Leaving: r.Leaving,
 	})
 }
 
--- a/leadership/leadership.go
+++ b/leadership/leadership.go
@@ -49,7 +49,7 @@
 // Listed takes over the entries of the service's targets and the fleet's own
 // record of the last promotion. A role counts when the entry changes; until
 // then what the target said itself is newer.
-func (b *Board) Listed(targets []*catalog.Target, reign *catalog.Reign) {
+func (b *Board) Listed(targets []*catalog.Target, reign *catalog.LeadershipRecord) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if reign != nil {
--- a/leadership/leadership_test.go
+++ b/leadership/leadership_test.go
@@ -38,7 +38,7 @@
 	b := NewBoard()
 	b.Listed(entries(map[target.ID]target.Role{"a": p, "b": r}), nil)
 	b.Told("a", p, 1)
-	b.Listed(entries(map[target.ID]target.Role{"a": p, "b": p}), &catalog.Reign{Primary: "b"})
+	b.Listed(entries(map[target.ID]target.Role{"a": p, "b": p}), &catalog.LeadershipRecord{Primary: "b"})
 	require.Equal(t, target.ID("b"), b.Believed().Primary)
 }
 
--- a/membership/machine.go
+++ b/membership/machine.go
@@ -144,7 +144,7 @@
 
 func (m *Machine) exchanged(now clock.Time, e Exchanged) {
 	m.answered = now
-	e.From.HeardAge = 0
+	e.From.ContactAge = 0
 	m.merge(now, e.From)
 	if x := m.byID[e.From.VM.ID]; x != nil {
 		x.failed = 0
@@ -182,14 +182,14 @@
 
 // recordEvidence merges the record's evidence that the VM is live or unreachable.
 func (m *Machine) recordEvidence(now clock.Time, x *member, r Record) {
-	if r.HeardAge < m.cfg.SuspectAfter {
+	if r.ContactAge < m.cfg.SuspectAfter {
 		unknown := !x.contacted && !x.listed
-		if x.recordContact(now.Add(-max(r.HeardAge, 0))) || unknown {
+		if x.recordContact(now.Add(-max(r.ContactAge, 0))) || unknown {
 			m.markPending(x)
 		}
 		return
 	}
-	began := now.Add(m.cfg.SuspectAfter - r.HeardAge)
+	began := now.Add(m.cfg.SuspectAfter - r.ContactAge)
 	if x.recordSuspicion(began) || !x.suspected {
 		// A new suspicion, or one that a later contact refutes.
 		m.markPending(x)
--- a/membership/machine_test.go
+++ b/membership/machine_test.go
@@ -110,11 +110,11 @@
 	m := newMachine(0)
 	m.Step(1, listOf(1, 2, 3))
 	run(m, 1, 2*second, 1, 2, 3)
-	bad := Record{VM: vm(3), Incarnation: 1, HeardAge: 2500 * time.Millisecond}
+	bad := Record{VM: vm(3), Incarnation: 1, ContactAge: 2500 * time.Millisecond}
 	m.Step(3*second, Exchanged{From: Record{VM: vm(1), Incarnation: 1}, Others: []Record{bad}})
-	good := Record{VM: vm(3), Incarnation: 1, HeardAge: 100 * time.Millisecond}
+	good := Record{VM: vm(3), Incarnation: 1, ContactAge: 100 * time.Millisecond}
 	m.Step(4*second, Exchanged{From: Record{VM: vm(2), Incarnation: 1}, Others: []Record{good}})
-	require.Contains(t, m.Records(4*second), Record{VM: vm(3), Incarnation: 1, HeardAge: 100 * time.Millisecond})
+	require.Contains(t, m.Records(4*second), Record{VM: vm(3), Incarnation: 1, ContactAge: 100 * time.Millisecond})
 	m.Step(60*second, Tick{})
 	require.Contains(t, ids(m.Live()), "vm-0003")
 }
--- a/membership/member.go
+++ b/membership/member.go
@@ -65,11 +65,11 @@
 	r := Record{VM: x.vm, Incarnation: x.incarnation, Leaving: x.leaving}
 	switch {
 	case x.suspected:
-		r.HeardAge = suspectAfter + now.Sub(x.suspectedSince)
+		r.ContactAge = suspectAfter + now.Sub(x.suspectedSince)
 	case x.contacted && now.Sub(x.lastContact) < suspectAfter:
-		r.HeardAge = now.Sub(x.lastContact)
+		r.ContactAge = now.Sub(x.lastContact)
 	case x.leaving:
-		r.HeardAge = suspectAfter - 1
+		r.ContactAge = suspectAfter - 1
 	default:
 		return Record{}, false
 	}
--- a/membership/types.go
+++ b/membership/types.go
@@ -21,7 +21,7 @@
 	Incarnation uint64
 	// ContactAge is the time since the last contact of any VM with this one, if it is below
 	// Config.SuspectAfter. If it is not, the VM is suspected, and has been for the difference.
-	HeardAge time.Duration
+	ContactAge time.Duration
 	// Leaving is set once the VM drains.
 	Leaving bool
 }
--- a/promoter/abandoned.go
+++ b/promoter/abandoned.go
@@ -21,7 +21,7 @@
 // replica that was let go confirms the old primary's commits, and the promotion of
 // the other one then loses them. So while the target leads that was to be replaced
 // the whole Lapse has to pass, also if this VM's own process before was the holder.
-func (p *Promoter) abandoned(r *catalog.Reign, w *watched, leads target.ID, now clock.Time) bool {
+func (p *Promoter) abandoned(r *catalog.LeadershipRecord, w *watched, leads target.ID, now clock.Time) bool {
 	if r.Attempt == nil {
 		return outdated(r) && now.Sub(w.seen) >= takeover.Lapse
 	}
@@ -35,12 +35,12 @@
 // outdated reports whether a record is of before the store came back from an older copy,
 // or lost by that: an attempt may have been recorded since, and left targets paused. It is
 // written again by whoever tidies.
-func outdated(r *catalog.Reign) bool {
+func outdated(r *catalog.LeadershipRecord) bool {
 	return r.Lost || r.Era < catalog.EraOf(r.Revision)
 }
 
 // deposed is the target that the recorded attempt was to replace; empty if there is none.
-func deposed(r *catalog.Reign) target.ID {
+func deposed(r *catalog.LeadershipRecord) target.ID {
 	if r.Attempt == nil {
 		return ""
 	}
--- a/promoter/attempt.go
+++ b/promoter/attempt.go
@@ -47,8 +47,8 @@
 	reason  takeover.Reason
 	old     target.ID
 	started clock.Time
-	known   *catalog.Reign // the record that the decision went by
-	held    *catalog.Reign
+	known   *catalog.LeadershipRecord // the record that the decision went by
+	held    *catalog.LeadershipRecord
 	others  []*catalog.Target
 	term    timeline.Term
 	paused  []target.ID
--- a/promoter/guards_test.go
+++ b/promoter/guards_test.go
@@ -106,12 +106,12 @@
 func TestNobodyActsRightAfterAnother(t *testing.T) {
 	p := New(Config{Node: "vm1", Clock: still{}, Log: zap.NewNop()})
 	w := &watched{}
-	ended := &catalog.Reign{Service: "s", Revision: 9, Holder: "vm2"}
+	ended := &catalog.LeadershipRecord{Service: "s", Revision: 9, Holder: "vm2"}
 	start := clock.Time(time.Second)
 	require.True(t, p.othersAct(ended, w, start))
 	require.True(t, p.othersAct(ended, w, start.Add(takeover.Settle-1)))
 	require.False(t, p.othersAct(ended, w, start.Add(takeover.Settle)))
-	require.False(t, p.othersAct(&catalog.Reign{Service: "s", Revision: 10, Holder: "vm1"}, w, start.Add(takeover.Settle)), "its own attempts follow each other")
+	require.False(t, p.othersAct(&catalog.LeadershipRecord{Service: "s", Revision: 10, Holder: "vm1"}, w, start.Add(takeover.Settle)), "its own attempts follow each other")
 }
 
 // The holder of an attempt dies. Others must not act while it may still send
@@ -119,20 +119,20 @@
 func TestAttemptOfADeadHolderLapses(t *testing.T) {
 	p := New(Config{Node: "vm1", Clock: still{}, Log: zap.NewNop()})
 	w := &watched{}
-	open := &catalog.Reign{Service: "s", Revision: 9, Holder: "vm2", Attempt: &catalog.Attempt{Holder: "vm2", Nonce: "n"}}
+	open := &catalog.LeadershipRecord{Service: "s", Revision: 9, Holder: "vm2", Attempt: &catalog.Attempt{Holder: "vm2", Nonce: "n"}}
 	start := clock.Time(time.Second)
 	require.True(t, p.othersAct(open, w, start))
 	require.True(t, p.othersAct(open, w, start.Add(takeover.Limit)))
 	require.True(t, p.othersAct(open, w, start.Add(takeover.Lapse-1)))
 	require.False(t, p.othersAct(open, w, start.Add(takeover.Lapse)))
-	renewed := &catalog.Reign{Service: "s", Revision: 10, Holder: "vm3", Attempt: &catalog.Attempt{Holder: "vm3", Nonce: "m"}}
+	renewed := &catalog.LeadershipRecord{Service: "s", Revision: 10, Holder: "vm3", Attempt: &catalog.Attempt{Holder: "vm3", Nonce: "m"}}
 	require.True(t, p.othersAct(renewed, w, start.Add(takeover.Lapse)), "a further attempt is watched anew")
 }
 
 // records is the store's record of one service.
-type records struct{ now catalog.Reign }
+type records struct{ now catalog.LeadershipRecord }
 
-func (r *records) Begin(_ context.Context, known *catalog.Reign, a catalog.Attempt) (*catalog.Reign, error) {
+func (r *records) Begin(_ context.Context, known *catalog.LeadershipRecord, a catalog.Attempt) (*catalog.LeadershipRecord, error) {
 	if known.Revision != r.now.Revision {
 		return nil, errors.New("changed")
 	}
@@ -142,7 +142,7 @@
 	return &held, nil
 }
 
-func (r *records) End(_ context.Context, held *catalog.Reign, primary target.ID) error {
+func (r *records) End(_ context.Context, held *catalog.LeadershipRecord, primary target.ID) error {
 	if held.Revision != r.now.Revision {
 		return errors.New("changed")
 	}
@@ -160,7 +160,7 @@
 			"a": {dead: true}, "c": c,
 			"b": {status: statement.Status{Role: target.RolePrimary, Term: term}},
 		})
-		r := &records{now: catalog.Reign{Service: "s", Revision: 9, Holder: "vm2", Attempt: &catalog.Attempt{Holder: "vm2", Nonce: "n", Deposed: "a"}}}
+		r := &records{now: catalog.LeadershipRecord{Service: "s", Revision: 9, Holder: "vm2", Attempt: &catalog.Attempt{Holder: "vm2", Nonce: "n", Deposed: "a"}}}
 		a.p.cfg.Records, a.p.cfg.Nonce = r, func() string { return "m" }
 		known := r.now
 		a.old, a.known = "b", &known
@@ -196,7 +196,7 @@
 func TestRestartedHolderWaitsForItsOrderToArrive(t *testing.T) {
 	p := New(Config{Node: "vm1", Clock: still{}, Log: zap.NewNop()})
 	w := &watched{}
-	own := &catalog.Reign{Service: "s", Revision: 9, Holder: "vm1", Attempt: &catalog.Attempt{Holder: "vm1", Nonce: "before", Deposed: "a"}}
+	own := &catalog.LeadershipRecord{Service: "s", Revision: 9, Holder: "vm1", Attempt: &catalog.Attempt{Holder: "vm1", Nonce: "before", Deposed: "a"}}
 	start := clock.Time(time.Second)
 	require.True(t, p.othersAct(own, w, start))
 	require.False(t, p.othersAct(own, w, start.Add(takeover.OwnLapse)), "it may begin a new attempt")
--- a/promoter/promoter.go
+++ b/promoter/promoter.go
@@ -20,10 +20,10 @@
 type Records interface {
 	// Begin records an attempt on top of what is known of the service, and
 	// returns the revision that it got.
-	Begin(ctx context.Context, known *catalog.Reign, a catalog.Attempt) (*catalog.Reign, error)
+	Begin(ctx context.Context, known *catalog.LeadershipRecord, a catalog.Attempt) (*catalog.LeadershipRecord, error)
 	// End takes the attempt away again. The primary is the one that now leads,
 	// as far as the fleet has ordered it.
-	End(ctx context.Context, held *catalog.Reign, primary target.ID) error
+	End(ctx context.Context, held *catalog.LeadershipRecord, primary target.ID) error
 }
 
 // Designator orders the platform to make a target the primary. The errors
@@ -39,7 +39,7 @@
 	// RevokeAll reports whether every VM on the fleet's list has given up its
 	// permission. The list is read from the store after the attempt was
 	// recorded there.
-	RevokeAll(ctx context.Context, held *catalog.Reign) bool
+	RevokeAll(ctx context.Context, held *catalog.LeadershipRecord) bool
 	// Reaches reports whether this VM reaches any other at a moment, as far as it has
 	// tried.
 	Reaches(now clock.Time) bool
@@ -241,16 +241,16 @@
 }
 
 // known is the service's record of leadership; an empty one if there is none.
-func (p *Promoter) known(service string) *catalog.Reign {
-	if r := p.cfg.Catalog.Load().Reigns[service]; r != nil {
+func (p *Promoter) known(service string) *catalog.LeadershipRecord {
+	if r := p.cfg.Catalog.Load().LeadershipRecords[service]; r != nil {
 		return r
 	}
-	return &catalog.Reign{Service: service}
+	return &catalog.LeadershipRecord{Service: service}
 }
 
 // othersAct reports whether another VM's attempt is under way and has not
 // lapsed, or has ended just now.
-func (p *Promoter) othersAct(r *catalog.Reign, w *watched, now clock.Time) bool {
+func (p *Promoter) othersAct(r *catalog.LeadershipRecord, w *watched, now clock.Time) bool {
 	if r.Revision != w.revision {
 		w.revision, w.seen = r.Revision, now
 	}
@@ -280,7 +280,7 @@
 //
 // Failure guarded against: the holder of an attempt is killed and starts anew. It
 // would wait for its own attempt to lapse, as all others do, while nobody leads.
-func (p *Promoter) lapse(r *catalog.Reign, w *watched) time.Duration {
+func (p *Promoter) lapse(r *catalog.LeadershipRecord, w *watched) time.Duration {
 	if r.Attempt.Holder == p.cfg.Node && r.Attempt.Nonce != w.nonce {
 		return takeover.OwnLapse
 	}
@@ -288,7 +288,7 @@
 }
 
 func (p *Promoter) turn(service string) time.Duration {
-	return takeover.Turn(service, p.cfg.Node, p.cfg.Catalog.Load().Names())
+	return takeover.Turn(service, p.cfg.Node, p.cfg.Catalog.Load().VMNames())
 }
 
 // done lets the next attempt of this VM come after a pause.
--- a/promoter/restore_test.go
+++ b/promoter/restore_test.go
@@ -45,11 +45,11 @@
 	cfg := restoredStore(2, clock.Time(time.Second))
 	cfg.Platform = d
 	g := groups.NewRegistry(groups.Config{Catalog: cfg.Catalog, Clock: cfg.Clock, Log: cfg.Log}).Group("s")
-	a := &attempt{p: New(cfg), g: g, held: &catalog.Reign{Service: "s", Revision: catalog.RevisionOf(1, 450)}}
+	a := &attempt{p: New(cfg), g: g, held: &catalog.LeadershipRecord{Service: "s", Revision: catalog.RevisionOf(1, 450)}}
 	require.ErrorIs(t, a.designate(context.Background(), "t"), errRestored)
 	require.Empty(t, d.tokens)
 	require.False(t, a.ordered)
-	a.held = &catalog.Reign{Service: "s", Revision: catalog.RevisionOf(2, 3)}
+	a.held = &catalog.LeadershipRecord{Service: "s", Revision: catalog.RevisionOf(2, 3)}
 	require.NoError(t, a.designate(context.Background(), "t"))
 	require.Greater(t, d.tokens[0], catalog.RevisionOf(1, 450), "tokens rise over eras")
 }
@@ -58,7 +58,7 @@
 func TestOutdatedRecordIsTidiedOnceNobodyCanAct(t *testing.T) {
 	p := New(restoredStore(2, clock.Time(time.Second)))
 	start := clock.Time(time.Minute)
-	for _, r := range []*catalog.Reign{
+	for _, r := range []*catalog.LeadershipRecord{
 		{Service: "s", Revision: catalog.RevisionOf(2, 7), Era: 1, Primary: "t"},
 		{Service: "s", Lost: true},
 	} {
@@ -66,6 +66,6 @@
 		require.False(t, p.abandoned(r, w, "t", start.Add(takeover.Lapse-1)))
 		require.True(t, p.abandoned(r, w, "t", start.Add(takeover.Lapse)))
 	}
-	now := &catalog.Reign{Service: "s", Revision: catalog.RevisionOf(2, 7), Era: 2}
+	now := &catalog.LeadershipRecord{Service: "s", Revision: catalog.RevisionOf(2, 7), Era: 2}
 	require.False(t, p.abandoned(now, &watched{seen: start}, "t", start.Add(time.Hour)))
 }
--- a/relay/control.go
+++ b/relay/control.go
@@ -17,19 +17,19 @@
 // gateway to a target, status queries go through it, so that the queries of each VM do not take
 // connections that the gateways need for statements. Commands go directly to the target, and
 // through a gateway if the target accepts no further connection.
-type Asker struct{ *Router }
+type ControlClient struct{ *Router }
 
 // Control implements groups.ControlClient.
 //
 // Failure guarded against: a target is saturated, so that the VMs consider a change of primary,
 // and each VM of the fleet opens a connection to each target of the service for its status query.
 // The connections take slots and saturate the target further.
-func (a Asker) Control(ctx context.Context, id target.ID, cmd lane.Command, timeout time.Duration) ([]string, error) {
+func (a ControlClient) Control(ctx context.Context, id target.ID, cmd lane.Command, timeout time.Duration) ([]string, error) {
 	if cmd == lane.StatusCommand {
 		rows, _, err := a.Recent(ctx, id, 0, timeout)
 		return rows, err
 	}
-	rows, err := a.cfg.Asker.Control(ctx, id, cmd, timeout)
+	rows, err := a.cfg.Control.Control(ctx, id, cmd, timeout)
 	var u *lane.UnavailableError
 	if !errors.As(err, &u) || u.Code != statement.TooManyConnections {
 		return rows, err
@@ -41,7 +41,7 @@
 }
 
 // Recent implements groups.ControlClient.
-func (a Asker) Recent(ctx context.Context, id target.ID, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
+func (a ControlClient) Recent(ctx context.Context, id target.ID, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
 	if rows, age, err := a.relay(ctx, id, lane.StatusCommand, maxAge, timeout); !isGateway(err) {
 		return rows, age, err
 	}
@@ -50,7 +50,7 @@
 
 // relay sends a command through the gateways to a target, one after another, until one of them
 // reports a result of the target. The error is errUnreached if none does.
-func (a Asker) relay(ctx context.Context, id target.ID, cmd lane.Command, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
+func (a ControlClient) relay(ctx context.Context, id target.ID, cmd lane.Command, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
 	for _, vm := range a.route(id, "") {
 		if rows, age, err := a.relayThrough(ctx, vm, id, cmd, maxAge, timeout); !isGateway(err) {
 			return rows, age, err
@@ -62,7 +62,7 @@
 // relayThrough sends a command through one gateway. A missing reply counts as the gateway's
 // failure and not the target's, so that the command is sent elsewhere: status queries and commands
 // are safe to repeat.
-func (a Asker) relayThrough(ctx context.Context, vm catalog.VM, id target.ID, cmd lane.Command, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
+func (a ControlClient) relayThrough(ctx context.Context, vm catalog.VM, id target.ID, cmd lane.Command, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
 	kind, term := cmd.Encode()
 	var out *relaypb.AskReply
 	in := &relaypb.AskRequest{Target: string(id), TimeoutUs: micros(timeout), Kind: kind, Term: term, MaxAgeUs: uint64(micros(maxAge))}
--- a/relay/control_test.go
+++ b/relay/control_test.go
@@ -23,7 +23,7 @@
 func TestStatusQueriesGoThroughTheGateway(t *testing.T) {
 	atGateway, own := &slowTarget{}, &slowTarget{}
 	clk := monotonic.New()
-	s := NewServer(ServerConfig{Statuses: NewStatuses(atGateway, clk), Asker: atGateway, Clock: clk, Groups: registryOn(clk), Serves: func(target.ID) bool { return true }})
+	s := NewServer(ServerConfig{Statuses: NewStatuses(atGateway, clk), Control: atGateway, Clock: clk, Groups: registryOn(clk), Serves: func(target.ID) bool { return true }})
 	_, handler := s.Handler()
 	server := httptest.NewServer(handler)
 	defer server.Close()
@@ -33,11 +33,11 @@
 		Targets: map[target.ID]*catalog.Target{"t": {ID: "t", Service: "s", Zone: "a"}},
 		VMs:     []catalog.VM{{ID: "gateway", Zone: "a", Peer: server.Listener.Addr().String()}, {ID: "me", Zone: "b"}, {ID: "other", Zone: "b"}},
 	}
-	r := NewRouter(RouterConfig{Asker: own, Statuses: NewStatuses(own, clk), Groups: registryOn(clk), Clock: clk, Log: zap.NewNop(), Dial: (&net.Dialer{}).DialContext})
+	r := NewRouter(RouterConfig{Control: own, Statuses: NewStatuses(own, clk), Groups: registryOn(clk), Clock: clk, Log: zap.NewNop(), Dial: (&net.Dialer{}).DialContext})
 	r.Update(gateways.NewPlan("me", c), c)
-	_, _, err := Asker{r}.Recent(context.Background(), "t", 0, time.Second)
+	_, _, err := ControlClient{r}.Recent(context.Background(), "t", 0, time.Second)
 	require.NoError(t, err)
-	_, err = Asker{r}.Control(context.Background(), "t", lane.StatusCommand, time.Second)
+	_, err = ControlClient{r}.Control(context.Background(), "t", lane.StatusCommand, time.Second)
 	require.NoError(t, err)
 	require.Equal(t, 2, atGateway.count())
 	require.Zero(t, own.count())
--- a/relay/draw.go
+++ b/relay/draw.go
@@ -26,4 +26,4 @@
 }
 
 // InBackoff reports whether a VM that did not reply is in backoff.
-func (r *Router) Rests(vm catalog.VM) bool { return r.peers.inBackoff(vm.Peer) }
+func (r *Router) InBackoff(vm catalog.VM) bool { return r.peers.inBackoff(vm.Peer) }
--- a/relay/router.go
+++ b/relay/router.go
@@ -35,7 +35,7 @@
 	// Local runs statements that need no gateway; Control sends commands to targets, and Statuses
 	// sends status queries.
 	Local    dispatch.Runner
-	Asker    Controller
+	Control  Controller
 	Statuses *Statuses
 	Groups   *groups.Registry
 	Clock    clock.Clock
@@ -83,7 +83,7 @@
 		addrs[vm.Peer] = true
 	}
 	r.peers.retain(addrs)
-	r.cfg.Statuses.Keep(c)
+	r.cfg.Statuses.Retain(c)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id := range r.load {
--- a/relay/server.go
+++ b/relay/server.go
@@ -25,7 +25,7 @@
 	// Local runs the statements; Control sends commands to targets, and Statuses sends status
 	// queries.
 	Local    dispatch.Runner
-	Asker    Controller
+	Control  Controller
 	Statuses *Statuses
 	Groups   *groups.Registry
 	Clock    clock.Clock
@@ -215,7 +215,7 @@
 	if cmd == lane.StatusCommand {
 		return s.cfg.Statuses.Recent(ctx, id, duration(int64(in.GetMaxAgeUs())), timeout)
 	}
-	rows, err := s.cfg.Asker.Control(ctx, id, cmd, timeout)
+	rows, err := s.cfg.Control.Control(ctx, id, cmd, timeout)
 	return rows, 0, err
 }
 
--- a/relay/statuses.go
+++ b/relay/statuses.go
@@ -100,7 +100,7 @@
 }
 
 // Retain drops the targets that are not in the catalog.
-func (s *Statuses) Keep(c *catalog.Catalog) {
+func (s *Statuses) Retain(c *catalog.Catalog) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.byTarget {
@@ -110,4 +110,4 @@
 	}
 }
 
-var _ groups.Asker = Asker{}
+var _ groups.Asker = ControlClient{}
--- a/relay/unreachable.go
+++ b/relay/unreachable.go
@@ -7,10 +7,10 @@
 
 // UnreachablePeers returns the peers, by address, that this VM or another one recently could not
 // reach, and when.
-func (r *Router) Silences() map[string]clock.Time { return r.peers.unreachablePeers() }
+func (r *Router) UnreachablePeers() map[string]clock.Time { return r.peers.unreachablePeers() }
 
 // RecordUnreachable records that another VM could not reach a peer at the given time.
-func (r *Router) HeardSilent(addr string, at clock.Time) { r.peers.recordUnreachable(addr, at) }
+func (r *Router) RecordUnreachable(addr string, at clock.Time) { r.peers.recordUnreachable(addr, at) }
 
 func (p *peers) unreachablePeers() map[string]clock.Time {
 	now := p.clk.Now()
