--- a/takeover/behind_test.go
+++ b/takeover/behind_test.go
@@ -6,26 +6,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A primary that is dead, leaves or confirms nothing is replaced for that, whatever
-// waits there; and one that was changed a moment ago is left alone.
-func TestCrowdedPrimaryIsTheLastReason(t *testing.T) {
-	crowded := Signs{Known: true, Crowded: CrowdedAfter, Settled: BehindEvery}
-	require.Equal(t, ReasonBehind, Judge(crowded))
+// A dead, draining or stalled primary is replaced for that reason, whether or not reads are late
+// there, and a primary that was changed recently is not replaced for late reads.
+func TestLateReadsAreTheLastReason(t *testing.T) {
+	readsLate := Signs{Known: true, Crowded: CrowdedAfter, Settled: BehindEvery}
+	require.Equal(t, ReasonBehind, Judge(readsLate))
 	require.True(t, ReasonBehind.Planned())
 
-	soon := crowded
-	soon.Settled--
-	require.Equal(t, ReasonNone, Judge(soon))
-	brief := crowded
+	recentlyChanged := readsLate
+	recentlyChanged.Settled--
+	require.Equal(t, ReasonNone, Judge(recentlyChanged))
+	brief := readsLate
 	brief.Crowded--
 	require.Equal(t, ReasonNone, Judge(brief))
-	leaving := crowded
+	leaving := readsLate
 	leaving.Draining = true
 	require.Equal(t, ReasonLeaving, Judge(leaving))
-	stalled := crowded
+	stalled := readsLate
 	stalled.Stalled = StalledAfter
 	require.Equal(t, ReasonStalled, Judge(stalled))
-	silent := crowded
+	silent := readsLate
 	silent.Silent = SilentAfter
 	require.Equal(t, ReasonSilent, Judge(silent))
 }
--- a/takeover/choose.go
+++ b/takeover/choose.go
@@ -10,44 +10,43 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// Copies is how many targets of a service hold a log, the primary included.
-// The platform does not tell it.
+// LogCopies is how many targets of a service hold a log, the primary included. The platform does
+// not report this number.
 const Copies = 3
 
-// Enough is how many targets beside the old primary must be stopped for their
-// logs together to hold every acknowledged commit: all but one of the copies.
+// RequiredFenced is how many targets other than the old primary must be paused for their logs
+// together to hold every acknowledged commit: all copies but one.
 //
-// Failure guarded against: a promotion among what is left of a service. Two of
-// three targets hold a commit; one of those is gone, the other is the primary
-// that seems stuck, and the third one, which received nothing, is the only one
-// that answers. It shows as purchases that were confirmed and are not there.
+// Failure guarded against: a promotion among the remaining targets of a service. Two of three
+// targets hold a commit. One of them is removed, and the other is the primary that seems
+// unresponsive, so that only the third one answers, which has not received the commit. Confirmed
+// purchases are then missing.
 const Enough = Copies - 1
 
-// Fenced is a target that was stopped, and what it holds.
+// Fenced is a target that was paused, with the end of its log.
 type Fenced struct {
 	ID target.ID
-	// Received is the end of what it has received.
+	// Received is the end of the log that it has received.
 	Received timeline.Position
-	// Leaving is set if the target drains.
+	// Leaving is set if the target is draining.
 	Leaving bool
 }
 
-// Holds reports whether a log that ends at a position has everything up to another
-// one that was acknowledged, or that it was copied from.
+// Holds reports whether a log that ends at have contains everything up to want, a position that was
+// acknowledged or that the log was copied from.
 //
-// Failure guarded against: a target that has joined with an empty log tells the
-// newest term and the number 0. By terms alone that is beyond every position of
-// an earlier term, and the target is promoted with nothing. It shows as a service
-// that has forgotten all. It holds because numbers go on from term to term: a log
-// that has a commit is never shorter than its number.
+// Failure guarded against: a target that joins with an empty log reports the newest term and the
+// number 0. Compared by terms alone that is beyond every position of an earlier term, so that the
+// target would be promoted and the service would lose all its data. Numbers continue from term to
+// term, so a log that holds a commit is never shorter than the commit's number.
 func Holds(have, want timeline.Position) bool {
 	return !have.Less(want) && have.LSN >= want.LSN
 }
 
-// Furthest orders logs by what they hold, as cmp.Compare does; an empty one holds
-// nothing, whichever term it tells.
+// CompareLogs orders logs by what they hold, as cmp.Compare does. An empty log holds nothing,
+// whichever term its target reports.
 func Furthest(a, b timeline.Position) int {
-	a, b = told(a), told(b)
+	a, b = normalizeEmpty(a), normalizeEmpty(b)
 	switch {
 	case a == b:
 		return 0
@@ -58,20 +57,20 @@
 	}
 }
 
-func told(p timeline.Position) timeline.Position {
+// normalizeEmpty returns the zero position for an empty log.
+func normalizeEmpty(p timeline.Position) timeline.Position {
 	if p.LSN == 0 {
 		return timeline.Position{}
 	}
 	return p
 }
 
-// ErrNoCandidate says that no fenced target surely holds every acknowledged
-// commit.
-var ErrNoCandidate = errors.New("no target surely holds every acknowledged commit")
+// ErrNoCandidate is returned if no fenced target certainly holds every acknowledged commit.
+var ErrNoCandidate = errors.New("no fenced target certainly holds every acknowledged commit")
 
-// Choose returns the target to promote. Of those that hold the most, one that
-// stays is preferred. If the old primary has told where its log ends, the
-// chosen one must hold that.
+// Choose returns the target to promote. Among those that hold the most, it prefers one that is not
+// draining. If the old primary has reported where its log ends, the chosen target must hold that
+// position.
 func Choose(fenced []Fenced, end *timeline.Position) (Fenced, error) {
 	if len(fenced) == 0 {
 		return Fenced{}, ErrNoCandidate
--- a/takeover/settled.go
+++ b/takeover/settled.go
@@ -5,33 +5,32 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// Account is what a target says of itself.
+// TargetStatus is the status report of a target.
 type Account struct {
 	ID target.ID
-	// Silent is set if it did not answer; the rest is then not known.
+	// Unresponsive is set if the target did not answer; the other fields are then unknown.
 	Silent bool
 	Role   target.Role
 	Term   timeline.Term
-	// Paused is the term for which it was paused; 0 if it receives.
+	// Paused is the term for which it was paused; 0 if it receives the primary's log.
 	Paused timeline.Term
 }
 
-// Settled reports whether a service has one primary that nobody can have
-// replaced, so that what a lapsed attempt has left behind may be undone: its
-// record, and targets that are still paused. The deposed target is the one that
-// the attempt was to replace.
+// IsSettled reports whether a service has one primary that certainly has not been replaced, so that
+// the remains of an expired attempt may be cleaned up: its record, and targets that are still
+// paused. The replaced target is the one that the attempt was to replace.
 //
-// Failure guarded against: a replica that is let go while a promotion is open. It
-// confirms the old primary's commits, which the chosen target lacks, and they are
-// lost. It holds because the leader speaks for itself, and no other target knows a
-// later term; the deposed one need not answer, since nobody was to promote it.
-func Settled(leader Account, others []Account, deposed target.ID) bool {
+// Failure guarded against: a replica is resumed while a promotion is under way. It confirms the old
+// primary's commits, which the chosen target lacks, and they are lost. IsSettled excludes this: the
+// leader itself has answered, and no other target reports a later term. The replaced target need not
+// answer, since no attempt was to promote it.
+func Settled(leader Account, others []Account, replaced target.ID) bool {
 	if leader.Silent || leader.Role != target.RolePrimary {
 		return false
 	}
 	for _, o := range others {
 		switch {
-		case o.Silent && o.ID != deposed:
+		case o.Silent && o.ID != replaced:
 			return false
 		case o.Silent:
 		case o.Role == target.RolePrimary || o.Term > leader.Term:
--- a/takeover/takeover.go
+++ b/takeover/takeover.go
@@ -7,120 +7,119 @@
 )
 
 const (
-	// Limit is how long after it was recorded an attempt may send orders.
+	// CommandLimit is how long after it was recorded an attempt may send commands.
 	Limit = 2500 * time.Millisecond
-	// Lapse is how long others watch an attempt before they take it for dead.
-	// It exceeds Limit by the longest time that a call may be on its way.
+	// ExpireAfter is how long other VMs must see an attempt unchanged before they consider its
+	// holder dead. It exceeds CommandLimit by the longest time that a call may take to arrive.
 	Lapse = 5 * time.Second
-	// OwnLapse is the same for an attempt of this VM's own that a process before
-	// has made: that one sends no further order. What it had sent must have arrived:
-	// with the time that a process takes to be started anew this leaves it as long
-	// as Lapse does after Limit.
+	// OwnExpireAfter is the same for an attempt that an earlier process of this VM has made: that
+	// process sends no further command. Commands that it has sent must have arrived: together with
+	// the time that a process takes to restart, this leaves them as long as ExpireAfter does after
+	// CommandLimit.
 	OwnLapse = 2 * time.Second
-	// Settle is how long after another VM's attempt has ended no new one begins.
-	// The platform lets the holder of a duty keep it for three seconds; and a
-	// service that changes its primary again and again serves nobody, as when
-	// two halves of the fleet each reach another target only.
+	// SettlePeriod is how long after the end of another VM's attempt no new one begins. The
+	// platform lets the holder of a duty keep it for three seconds. A service that changes its
+	// primary again and again, as when each half of the fleet reaches a different target, serves no
+	// requests.
 	Settle = 3500 * time.Millisecond
-	// Permission is how long after a witness was asked a VM may still take the
-	// primary for unchanged without asking anew. An attempt waits it out after
-	// its fences, unless every VM of the fleet has given its permission up. Own
-	// requests and peers renew the witness about every 300 ms.
+	// Permission is how long after a witness was queried a VM may still assume that the primary is
+	// unchanged, without a query of its own. An attempt waits this time after its fences, unless
+	// every VM of the fleet has given up its permission. Requests of the VM itself and of its peers
+	// renew the witness about every 300 ms.
 	Permission = 500 * time.Millisecond
-	// SilentAfter is how long a primary must have failed to answer requests and
-	// questions. Three questions of 100 ms fit, and a full queue of its requests
-	// is worked off in 150 ms.
+	// UnresponsiveAfter is how long a primary must have failed to answer requests and status
+	// queries. Three queries of 100 ms fit into it, and the primary works off a full queue of
+	// requests in 150 ms.
 	SilentAfter = 350 * time.Millisecond
-	// RefusedAfter and RefusedTimes are for a primary whose address refuses
-	// connections: no process listens there, which a lost packet cannot feign.
+	// RefusedAfter is how long a primary must have failed to answer if its address refuses
+	// connections: no process listens there, which packet loss cannot cause.
 	RefusedAfter = 80 * time.Millisecond
-	// RefusedTimes is how many connections must have been refused.
+	// RefusedTimes is how many connections must have been refused in that time.
 	RefusedTimes = 2
-	// StalledAfter is how long a primary that answers must have left every
-	// write without an answer, as when its replicas cannot receive from it.
+	// StalledAfter is how long a primary that answers must have left every write unanswered, as
+	// when its replicas cannot receive its log.
 	StalledAfter = 600 * time.Millisecond
-	// AbsentAfter is how long no target may have claimed to lead: a claim that
-	// is on its way needs some hundred milliseconds.
+	// AbsentAfter is how long no target may have claimed to lead: a new claim takes some hundred
+	// milliseconds to arrive.
 	AbsentAfter = 1500 * time.Millisecond
-	// CrowdedAfter is how long aged reads must have come too late at a primary that
-	// alone can serve them. Too late is some half a second each, so that replicas that
-	// are a moment behind pass by themselves; and all of them are asked how far they
-	// are.
+	// ReadsLateAfter is how long bounded-staleness reads that only the primary can serve must have
+	// been late there. Each of them is late by about half a second, so that replicas that lag only
+	// briefly recover before. An attempt also queries the lag of all replicas.
 	CrowdedAfter = 300 * time.Millisecond
-	// FarBehind is how far every replica must be behind then: what takes so long to
-	// be applied outlasts a change of primary, some 0.5 s for those who write.
+	// FarBehind is how far every replica must then lag: a backlog of that length outlasts a change
+	// of primary, which takes about 0.5 s for writes.
 	FarBehind = 1500 * time.Millisecond
-	// BehindEvery is the least time between a change of primary and one for this
-	// reason: if the new primary's replicas fall behind as well, changes are no cure.
+	// BehindEvery is the least time between a change of primary and the next one for ReasonBehind:
+	// if the new primary's replicas fall behind as well, further changes do not help.
 	BehindEvery = 10 * time.Second
-	// TurnEvery separates the VMs that would make the same change, so that one
-	// does while the others watch: a record in the store is known to all after
-	// some 10 ms. Two that act at once cost a conflict and nothing more; a long
-	// wait for the turns of VMs that cannot act costs every consumer.
+	// StaggerInterval separates the VMs that would make the same change, so that one makes it while
+	// the others watch: all VMs learn of a record in the store within some 10 ms. Two VMs that act
+	// at once cause a conflict in the store and nothing else, whereas a long wait for VMs that
+	// cannot act delays every consumer.
 	TurnEvery = 40 * time.Millisecond
-	// maxTurns bounds the wait of the last VM of a large fleet.
-	maxTurns = 8
+	// maxStaggerSteps bounds the delay of the last VM of a large fleet.
+	maxStaggerSteps = 8
 )
 
-// Reason says why a service needs another primary.
+// Reason is why a service needs another primary.
 type Reason string
 
 // Reasons.
 const (
-	// ReasonNone: it needs none.
+	// ReasonNone: it needs no other primary.
 	ReasonNone Reason = ""
-	// ReasonLeaving: the primary drains.
+	// ReasonLeaving: the primary is draining.
 	ReasonLeaving Reason = "leaving"
-	// ReasonSilent: the primary does not answer.
+	// ReasonUnresponsive: the primary does not answer.
 	ReasonSilent Reason = "silent"
 	// ReasonRefusing: nothing listens at the primary's address.
 	ReasonRefusing Reason = "refusing"
 	// ReasonStalled: the primary answers, but acknowledges no write.
 	ReasonStalled Reason = "stalled"
-	// ReasonBehind: the primary leads well, but all its replicas are far behind, and
-	// it cannot serve all reads by itself. The platform's targets apply what they
-	// have received as they are promoted, and the old primary, whose log is applied,
-	// serves reads as a replica: two targets for them instead of one.
+	// ReasonBehind: the primary works, but all its replicas lag far behind, and it cannot serve all
+	// reads alone. The platform's targets apply what they have received as they are promoted, and
+	// the old primary, whose log is applied, serves reads as a replica: two targets serve reads
+	// instead of one.
 	ReasonBehind Reason = "behind"
 	// ReasonAbsent: no target claims to lead.
 	ReasonAbsent Reason = "absent"
-	// ReasonAbandoned: it needs none, but an attempt was left unended.
+	// ReasonAbandoned: it needs no other primary, but an attempt was not ended by its holder.
 	ReasonAbandoned Reason = "abandoned"
 )
 
 // Planned reports whether the old primary is expected to cooperate.
 func (r Reason) Planned() bool { return r == ReasonLeaving || r == ReasonBehind }
 
-// Unanswered reports whether what was asked of the primary went unanswered.
+// Unanswered reports whether the primary has left requests and queries unanswered.
 func (r Reason) Unanswered() bool { return r == ReasonSilent || r == ReasonRefusing }
 
-// Answers reports whether the primary answers, whatever else ails the service.
+// Answers reports whether the primary answers, whatever other fault the service has.
 func (r Reason) Answers() bool {
 	return r == ReasonAbandoned || r == ReasonStalled || r == ReasonBehind
 }
 
-// Signs is what a VM has seen of a service's primary.
+// Symptoms is what a VM has observed of a service's primary.
 type Signs struct {
-	// Known is set if some target is believed to lead.
+	// Known is set if some target is considered the primary.
 	Known bool
-	// Draining is set if the primary said that it leaves.
+	// Draining is set if the primary has reported that it is draining.
 	Draining bool
-	// Silent is how long it has failed to answer.
+	// Unresponsive is how long the primary has failed to answer.
 	Silent time.Duration
 	// Refusals counts the connections refused in that time.
 	Refusals int
-	// Stalled is how long it has acknowledged no write though some wait.
+	// Stalled is how long it has acknowledged no write although some are waiting.
 	Stalled time.Duration
-	// Crowded is how long aged reads have come too late there, as no replica could
-	// serve them.
+	// ReadsLate is how long bounded-staleness reads that no replica could serve have been late at
+	// the primary.
 	Crowded time.Duration
-	// Settled is how long the service's record of leadership has not changed.
+	// Settled is how long the service's leadership record has not changed.
 	Settled time.Duration
-	// Absent is how long nobody was believed to lead.
+	// Absent is how long no target has been considered the primary.
 	Absent time.Duration
 }
 
-// Judge returns why the service needs another primary, if it does.
+// Diagnose returns why the service needs another primary, or ReasonNone.
 func Judge(s Signs) Reason {
 	switch {
 	case !s.Known && s.Absent >= AbsentAfter:
@@ -142,15 +141,15 @@
 	}
 }
 
-// Turn is how long a VM waits before it makes a change that others may make as
-// well. Each service has its own order of VMs.
+// StaggerDelay is how long a VM waits before it makes a change that others may make as well. Each
+// service has its own order of VMs.
 func Turn(service, self string, vms []string) time.Duration {
-	mine := xxhash.Sum64String(service + "/" + self)
+	own := xxhash.Sum64String(service + "/" + self)
 	before := 0
 	for _, vm := range vms {
-		if vm != self && xxhash.Sum64String(service+"/"+vm) < mine {
+		if vm != self && xxhash.Sum64String(service+"/"+vm) < own {
 			before++
 		}
 	}
-	return time.Duration(min(before, maxTurns)) * TurnEvery
+	return time.Duration(min(before, maxStaggerSteps)) * TurnEvery
 }
--- a/takeover/takeover_test.go
+++ b/takeover/takeover_test.go
@@ -16,25 +16,25 @@
 	return timeline.Position{Term: timeline.Term(term), LSN: timeline.LSN(n)}
 }
 
-func TestJudge(t *testing.T) {
+func TestDiagnose(t *testing.T) {
 	cases := []struct {
-		name  string
-		signs Signs
-		want  Reason
+		name     string
+		symptoms Signs
+		want     Reason
 	}{
-		{"well", Signs{Known: true}, ReasonNone},
-		{"slow for a moment", Signs{Known: true, Silent: 200 * time.Millisecond}, ReasonNone},
-		{"silent", Signs{Known: true, Silent: SilentAfter}, ReasonSilent},
+		{"healthy", Signs{Known: true}, ReasonNone},
+		{"briefly slow", Signs{Known: true, Silent: 200 * time.Millisecond}, ReasonNone},
+		{"unresponsive", Signs{Known: true, Silent: SilentAfter}, ReasonSilent},
 		{"one refused connection may be a restart", Signs{Known: true, Silent: 200 * time.Millisecond, Refusals: 1}, ReasonNone},
 		{"nothing listens", Signs{Known: true, Silent: RefusedAfter, Refusals: RefusedTimes}, ReasonRefusing},
-		{"leaving", Signs{Known: true, Draining: true}, ReasonLeaving},
-		{"died while leaving", Signs{Known: true, Draining: true, Silent: SilentAfter}, ReasonSilent},
+		{"draining", Signs{Known: true, Draining: true}, ReasonLeaving},
+		{"unresponsive while draining", Signs{Known: true, Draining: true, Silent: SilentAfter}, ReasonSilent},
 		{"acknowledges nothing", Signs{Known: true, Stalled: StalledAfter}, ReasonStalled},
-		{"a claim is on its way", Signs{Absent: time.Second}, ReasonNone},
-		{"nobody leads", Signs{Absent: AbsentAfter}, ReasonAbsent},
+		{"a claim may still arrive", Signs{Absent: time.Second}, ReasonNone},
+		{"no target claims to lead", Signs{Absent: AbsentAfter}, ReasonAbsent},
 	}
 	for _, c := range cases {
-		require.Equal(t, c.want, Judge(c.signs), c.name)
+		require.Equal(t, c.want, Judge(c.symptoms), c.name)
 	}
 }
 
@@ -47,9 +47,9 @@
 	require.Equal(t, target.ID("a"), f.ID, "a later term beats a longer log")
 }
 
-// A target joins a service whose newest term has no commit yet. Its log is empty,
-// and it tells that term and the number 0, which is beyond all that was bought in
-// the term before. Promoted, it would lead a service that has forgotten everything.
+// A target joins a service whose newest term has no commit yet. Its log is empty, and it reports
+// that term and the number 0, which compares beyond every position of the term before. If it were
+// promoted, the service would lose all its data.
 func TestEmptyLogIsNeverChosen(t *testing.T) {
 	f, err := Choose([]Fenced{{ID: "a", Received: at(1, 60)}, {ID: "new", Received: at(2, 0)}, {ID: "z", Received: at(1, 59)}}, nil)
 	require.NoError(t, err)
@@ -64,8 +64,8 @@
 	require.True(t, Holds(at(1, 60), at(1, 60)))
 }
 
-// The old primary said where its log ends. A target that has not received all
-// of it must not lead, and one that leaves leads only if nobody else can.
+// The old primary has reported where its log ends. A target that has not received all of it must
+// not lead, and a draining one leads only if no other target can.
 func TestPlannedChangeNeedsTheWholeLog(t *testing.T) {
 	end := at(1, 60)
 	_, err := Choose([]Fenced{{ID: "a", Received: at(1, 59)}}, &end)
@@ -77,8 +77,8 @@
 	require.ErrorIs(t, err, ErrNoCandidate)
 }
 
-// Whatever two of three logs are fenced, the one chosen holds every commit that
-// two of the three held.
+// Whichever two of three logs are fenced, the chosen one holds every commit that two of the three
+// held.
 func TestNoAcknowledgedCommitIsOutvoted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		primary := rapid.IntRange(1, 100).Draw(t, "primary")
@@ -91,9 +91,9 @@
 	})
 }
 
-// Every VM sees the primary die at the same moment. They must not all act at
-// once, and no VM may have to wait long in a large fleet.
-func TestTurnsAreSpread(t *testing.T) {
+// Every VM detects the primary's death at the same time. They must not all act at once, and no VM
+// of a large fleet may have to wait long.
+func TestStaggerDelaysAreSpread(t *testing.T) {
 	var vms []string
 	for i := range 9 {
 		vms = append(vms, fmt.Sprint("vm", i))
@@ -104,12 +104,12 @@
 	}
 	require.Len(t, seen, 9)
 	require.Equal(t, 1, seen[0])
-	require.LessOrEqual(t, Turn("ledger", "other", append(vms, make([]string, 1000)...)), maxTurns*TurnEvery)
+	require.LessOrEqual(t, Turn("ledger", "other", append(vms, make([]string, 1000)...)), maxStaggerSteps*TurnEvery)
 }
 
-// The times that safety rests on: an order must have arrived before others may
-// act, and a permission must have lapsed within an attempt's time.
-func TestTimesFitTogether(t *testing.T) {
+// Safety depends on these relations: a command must have arrived before other VMs may act, and a
+// permission must have expired within an attempt's time.
+func TestTimeLimitsAreConsistent(t *testing.T) {
 	require.Greater(t, Lapse, Limit+2*time.Second)
 	require.Less(t, Permission, Limit/2)
 }
