--- a/groups/acknowledged_test.go
+++ b/groups/acknowledged_test.go
@@ -13,10 +13,10 @@
 	return timeline.Position{Term: timeline.Term(term), LSN: timeline.LSN(n)}
 }
 
-// The answer to a commit shows the end of the log, where other sessions' commits
-// lie that are not acknowledged yet. The bound must not take those in, or a
-// right candidate, which never received them, could not be promoted.
-func TestBoundStaysBelowWhatIsNotAcknowledged(t *testing.T) {
+// The reply to a commit contains the end of the log, beyond other sessions' commits that are not
+// acknowledged yet. The bound must exclude those, or a valid candidate that has not received them
+// could not be promoted.
+func TestBoundExcludesUnacknowledgedCommits(t *testing.T) {
 	var a Acknowledged
 	a.Told(at(1, 100))
 	before := a.Before()
@@ -28,14 +28,14 @@
 	var a Acknowledged
 	a.Told(at(1, 500))
 	a.Commit(a.Before(), at(2, 481))
-	require.True(t, a.Bound().IsZero(), "500 is of a branch that was discarded")
+	require.True(t, a.Bound().IsZero(), "500 belongs to a discarded branch")
 	a.Raise(at(2, 490))
 	a.Raise(at(2, 485))
 	require.Equal(t, at(2, 490), a.Bound())
 }
 
-// However answers and other sessions' commits interleave, the bound is never
-// above the highest commit that was acknowledged.
+// In every order of replies and other sessions' commits, the bound is never above the highest
+// acknowledged commit.
 func TestBoundIsNeverAboveAnAcknowledgedCommit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a Acknowledged
@@ -44,11 +44,11 @@
 			before := a.Before()
 			log += rapid.IntRange(0, 5).Draw(t, "others")
 			log++
-			mine := log
+			own := log
 			log += rapid.IntRange(0, 5).Draw(t, "later")
 			if rapid.Bool().Draw(t, "acknowledged") {
 				a.Commit(before, at(1, log))
-				highest = max(highest, mine)
+				highest = max(highest, own)
 			}
 			a.Told(at(1, log))
 			require.LessOrEqual(t, int(a.Bound().LSN), highest)
--- a/groups/breaker_test.go
+++ b/groups/breaker_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A VM is cut off with a primary that confirms nothing. For a moment requests wait, as
-// they do while another primary is made to lead; then they are refused at once, but
-// for one now and then, and as soon as one is served all try again.
+// A network partition leaves a VM with a primary that confirms nothing. Requests wait at first, as
+// they do during a change of primary. Then they are refused at once except for a periodic probe,
+// and as soon as one is served all are tried again.
 func TestBreakerOpensAfterAWhileAndLetsAProbeThrough(t *testing.T) {
 	var b Breaker
 	require.True(t, b.Admits(ms(0)))
@@ -27,7 +27,7 @@
 	require.True(t, b.Admits(ms(1904)))
 }
 
-// A quiet service loses one answer. Those who come long after it must not be refused
+// A service with few requests has one unanswered request. Much later requests must not be refused
 // for it.
 func TestOneFailureLongAgoOpensNothing(t *testing.T) {
 	var b Breaker
--- a/groups/doc.go
+++ b/groups/doc.go
@@ -1,4 +1,5 @@
-// Package groups keeps what this VM knows of each service's targets beyond the
-// catalog: which one leads, and how fresh the others are. It asks targets for
-// their account of themselves where requests do not show enough.
+// Package groups tracks the state of each service's targets beyond the catalog: which one is the
+// primary, whether it answers, and which evidence there is for the freshness of reads. Begin with
+// Registry and Group. It queries targets for their status where requests do not show enough. It
+// does not change primaries; package promoter does.
 package groups
--- a/groups/group.go
+++ b/groups/group.go
@@ -22,169 +22,169 @@
 )
 
 const (
-	// askTimeout bounds one question to a target: a slot may have to become
-	// free first, behind a full queue of 24 requests of 18 ms on 3 slots.
-	askTimeout = 300 * time.Millisecond
-	// discoverEvery is the interval between two rounds of questions while no
-	// target is known to lead.
-	discoverEvery = 100 * time.Millisecond
-	// maxDiscover is the longest such interval. It grows by half each time that
-	// nothing came of it: a change of primary that takes longer than some hundred
-	// milliseconds waits for something else, and the store tells of a new primary.
-	maxDiscover = 800 * time.Millisecond
-	// forgetRounds is the time without questions after which they begin anew at
-	// the shortest interval.
-	forgetRounds = 2 * time.Second
+	// statusTimeout bounds one status query or command. It may have to wait for a free slot, behind
+	// a full queue of 24 requests of 18 ms on 3 slots.
+	statusTimeout = 300 * time.Millisecond
+	// discoverInterval is the interval between two rounds of status queries while no target is
+	// known to lead.
+	discoverInterval = 100 * time.Millisecond
+	// maxDiscoverInterval bounds that interval. It grows by half with each round that finds no
+	// primary: a change of primary that takes longer than some hundred milliseconds waits for
+	// another event, and the store reports a new primary.
+	maxDiscoverInterval = 800 * time.Millisecond
+	// discoverResetAfter is the time without rounds after which they begin again at the shortest
+	// interval.
+	discoverResetAfter = 2 * time.Second
 )
 
-// Group is one service's.
+// Group is the state of one service.
 type Group struct {
-	// Service is its name.
+	// Service is the service's name.
 	Service string
-	// Leadership says who leads.
+	// Leadership tracks which target is the primary.
 	Leadership *leadership.Board
-	// Freshness has the evidence for reads.
+	// Freshness holds the evidence for reads.
 	Freshness *freshness.Board
-	// Acknowledged is what a new primary must hold.
+	// Acknowledged is the position that a new primary must hold.
 	Acknowledged Acknowledged
-	// Health tells whether the primary answers.
+	// Health tracks whether the primary answers.
 	Health Health
-	// Crowd tells whether reads crowd there.
+	// LateReads tracks late reads at the primary.
 	Crowd Crowd
-	// Breaker tells whether requests should wait for the primary.
+	// Breaker decides whether requests should wait for the primary.
 	Breaker Breaker
 
 	cfg *Config
-	// slot is the tick in which the group is looked at though nobody uses it.
+	// slot is the tick in which the group is due even if the service is not in use.
 	slot int
-	used atomic.Int64 // clock.Time of the latest request for it
-
-	mu         sync.Mutex
-	believed   leadership.Belief
-	changed    chan struct{}
-	absent     clock.Time // since when nobody is believed to lead
-	discovered clock.Time
-	pause      time.Duration // until the next round of questions
-	refreshing chan struct{}
-	renewing   bool
-	superseded superseded
-	nextLook   clock.Time               // when silent replicas are asked again; 0 while they answer
-	revoked    int64                    // the attempt for which the permission was given up
-	revokedAt  clock.Time               // when it was
-	deposed    target.ID                // the primary that the attempt replaces
-	leaving    map[target.ID]clock.Time // since when a target is known to leave
-	lives      map[target.ID]life
+	used atomic.Int64 // clock.Time of the latest request for the service
+
+	mu               sync.Mutex
+	state            leadership.Belief
+	changed          chan struct{}
+	absentSince      clock.Time // since when no primary is known; 0 if one is
+	discoveredAt     clock.Time
+	discoverPause    time.Duration // between two rounds of status queries
+	refreshing       chan struct{}
+	renewing         bool
+	superseded       superseded
+	nextReplicaCheck clock.Time               // when unresponsive replicas are queried again; 0 while they answer
+	revokedRevision  int64                    // revision of the attempt for which the permission was given up
+	revokedAt        clock.Time               // when the permission was given up
+	replaced         target.ID                // the primary that the attempt replaces
+	drainingSince    map[target.ID]clock.Time // since when a target is known to be draining
+	incarnations     map[target.ID]incarnation
 }
 
 func newGroup(service string, cfg *Config) *Group {
 	return &Group{
-		Service:    service,
-		Leadership: leadership.NewBoard(),
-		Freshness:  &freshness.Board{},
-		cfg:        cfg,
-		slot:       int(xxhash.Sum64String(service) % Ticks),
-		absent:     cfg.Clock.Now(),
-		changed:    make(chan struct{}),
+		Service:     service,
+		Leadership:  leadership.NewBoard(),
+		Freshness:   &freshness.Board{},
+		cfg:         cfg,
+		slot:        int(xxhash.Sum64String(service) % Ticks),
+		absentSince: cfg.Clock.Now(),
+		changed:     make(chan struct{}),
 	}
 }
 
-// useNoted is how exactly the latest use is known: requests on many threads seldom
-// write to the same place then.
-const useNoted = time.Second
+// useResolution is the resolution of the time of the latest use, so that concurrent requests seldom
+// write to the same memory location.
+const useResolution = time.Second
 
-func (g *Group) noteUse(now clock.Time) {
-	if used := g.used.Load(); used == 0 || now.Sub(clock.Time(used)) >= useNoted {
+func (g *Group) recordUse(now clock.Time) {
+	if used := g.used.Load(); used == 0 || now.Sub(clock.Time(used)) >= useResolution {
 		g.used.Store(int64(now))
 	}
 }
 
-// inUse reports whether there was a request for the service lately.
+// inUse reports whether there was a request for the service within inUseWindow.
 func (g *Group) inUse(now clock.Time) bool {
 	used := g.used.Load()
-	return used != 0 && now.Sub(clock.Time(used)) < useLasts
+	return used != 0 && now.Sub(clock.Time(used)) < inUseWindow
 }
 
-// Absent is how long nobody has been believed to lead.
+// Absent returns how long no primary has been known; 0 if one is.
 func (g *Group) Absent() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.absent == 0 {
+	if g.absentSince == 0 {
 		return 0
 	}
-	return g.cfg.Clock.Now().Sub(g.absent)
+	return g.cfg.Clock.Now().Sub(g.absentSince)
 }
 
-func (g *Group) listed(targets []*catalog.Target, c *catalog.Catalog) {
-	g.noteLeaving(targets)
-	for _, t := range g.noteLives(targets, c.TargetsRevision) {
+func (g *Group) updateTargets(targets []*catalog.Target, c *catalog.Catalog) {
+	g.recordDraining(targets)
+	for _, t := range g.recordIncarnations(targets, c.TargetsRevision) {
 		g.cfg.Log.Info("target-reborn", zap.String("service", g.Service), zap.String("target", string(t.ID)),
 			zap.Int64("incarnation", t.Incarnation), zap.Int64("revision", c.TargetsRevision))
 		g.Leadership.Reborn(t.ID)
 	}
 	g.Leadership.Listed(targets, c.Reigns[g.Service])
-	g.noteBelief()
+	g.updateState()
 }
 
-// noteLeaving keeps since when each target is known to leave.
-func (g *Group) noteLeaving(targets []*catalog.Target) {
+// recordDraining records since when each target has been draining.
+func (g *Group) recordDraining(targets []*catalog.Target) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	leaving := make(map[target.ID]clock.Time)
+	since := make(map[target.ID]clock.Time)
 	for _, t := range targets {
 		if !t.Draining {
 			continue
 		}
-		leaving[t.ID] = g.leaving[t.ID]
-		if leaving[t.ID] == 0 {
-			leaving[t.ID] = g.cfg.Clock.Now()
+		since[t.ID] = g.drainingSince[t.ID]
+		if since[t.ID] == 0 {
+			since[t.ID] = g.cfg.Clock.Now()
 		}
 	}
-	g.leaving = leaving
+	g.drainingSince = since
 }
 
-// MayWork reports whether a target may still be given work.
+// AcceptsWork reports whether a target may still be given work.
 //
-// Failure guarded against: a primary that leaves and cannot be replaced goes on
-// getting work until it is gone with it. Its consumers are refused instead once
-// the time has passed in which a leaving target may still be used.
+// Failure guarded against: a draining primary that cannot be replaced is given work until the
+// moment it is removed. Once DrainTimeout has passed, consumers are refused instead.
 func (g *Group) MayWork(id target.ID) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	since := g.leaving[id]
+	since := g.drainingSince[id]
 	return since == 0 || g.cfg.LeaveAfter <= 0 || g.cfg.Clock.Now().Sub(since) < g.cfg.LeaveAfter
 }
 
-// noteBelief wakes those who wait for a primary when the belief changes.
-func (g *Group) noteBelief() {
+// updateState takes the current state from Leadership and, if it has changed, wakes the requests
+// that wait for a primary.
+func (g *Group) updateState() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.Leadership.Believed()
-	if now == g.believed {
+	if now == g.state {
 		return
 	}
-	if now.Primary != g.believed.Primary {
+	if now.Primary != g.state.Primary {
 		g.cfg.Log.Info("primary-believed", zap.String("service", g.Service), zap.String("primary", string(now.Primary)),
-			zap.Uint64("term", uint64(now.Term)), zap.String("before", string(g.believed.Primary)), zap.Bool("contested", now.Contested))
+			zap.Uint64("term", uint64(now.Term)), zap.String("before", string(g.state.Primary)), zap.Bool("contested", now.Contested))
 	}
-	if now.Primary != "" && now.Primary != g.believed.Primary {
+	if now.Primary != "" && now.Primary != g.state.Primary {
 		g.Breaker.Served()
 	}
-	g.believed = now
+	g.state = now
 	if now.Primary != "" {
-		g.absent = 0
+		g.absentSince = 0
 		g.Health.Watch(now.Primary)
 	} else {
-		g.absent = g.lost()
+		g.absentSince = g.primaryLostSince()
 	}
-	g.pause = discoverEvery
+	g.discoverPause = discoverInterval
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// lost is since when nobody leads, now that nobody is believed to any more. A
-// primary whose entry has gone was lost when it ceased to answer: to wait for
-// claims of others anew would keep consumers waiting.
-func (g *Group) lost() clock.Time {
+// primaryLostSince returns since when no target leads, at the time when the primary becomes
+// unknown. A primary that was removed from the list was lost when it stopped answering: to count
+// the wait for other targets' claims from now would delay consumers.
+func (g *Group) primaryLostSince() clock.Time {
 	now := g.cfg.Clock.Now()
 	if since := g.Health.Failing(g.Health.Watched()); since != 0 {
 		return since
@@ -192,19 +192,19 @@
 	return now
 }
 
-// Told takes over a target's status.
+// RecordStatus records a target's status.
 func (g *Group) Told(id target.ID, s statement.Status) {
 	g.Leadership.Told(id, s.Role, s.Term)
-	g.noteBelief()
+	g.updateState()
 }
 
-// Heard takes over what a target said some time ago, to this VM or another.
+// RecordCachedStatus records a status that a target reported some time ago, to this VM or another.
 func (g *Group) Heard(id target.ID, role target.Role, term timeline.Term) {
 	g.Leadership.Heard(id, role, term)
-	g.noteBelief()
+	g.updateState()
 }
 
-// Hear takes over another VM's proof, and the position that new primaries must hold.
+// MergeProof merges another VM's proof, and the position that new primaries must hold.
 func (g *Group) Hear(p freshness.Proof, acknowledged timeline.Position) {
 	g.Freshness.Relay(p)
 	g.Acknowledged.Told(p.Position)
@@ -215,19 +215,19 @@
 // Refused records that a target does not lead any more.
 func (g *Group) Refused(id target.ID) {
 	g.Leadership.Refused(id)
-	g.noteBelief()
+	g.updateState()
 }
 
-// Status asks a target for its account of itself.
-func (g *Group) Status(ctx context.Context, id target.ID, why spending.Reason, timeout time.Duration) (statement.Status, error) {
-	s, _, err := g.Recent(ctx, id, why, 0, timeout)
+// Status queries a target for its status.
+func (g *Group) Status(ctx context.Context, id target.ID, reason spending.Reason, timeout time.Duration) (statement.Status, error) {
+	s, _, err := g.Recent(ctx, id, reason, 0, timeout)
 	return s, err
 }
 
-// Recent returns a target's account of itself that is at most maxAge old, and the
-// moment as of which it surely holds. It asks the target unless another VM has just
-// done so. What is older than the call says nothing of whether the target lives.
-func (g *Group) Recent(ctx context.Context, id target.ID, why spending.Reason, maxAge, timeout time.Duration) (statement.Status, clock.Time, error) {
+// Recent returns a status of a target that is at most maxAge old, and a time at which that status
+// certainly held. It queries the target unless another VM has done so within maxAge. A status that
+// is older than the call does not show that the target is alive.
+func (g *Group) Recent(ctx context.Context, id target.ID, reason spending.Reason, maxAge, timeout time.Duration) (statement.Status, clock.Time, error) {
 	sent := g.cfg.Clock.Now()
 	rows, age, err := g.cfg.Asker.Recent(ctx, id, maxAge, timeout)
 	if age > 0 && err == nil {
@@ -238,22 +238,21 @@
 		}
 		return s, sent.Add(-age), err
 	}
-	s, err := g.answered(id, rows, why, sent, err)
+	s, err := g.handleReply(id, rows, reason, sent, err)
 	return s, sent, err
 }
 
-// Order sends a target an order that is answered with its status, and takes the
-// answer over.
-func (g *Group) Order(ctx context.Context, id target.ID, ask lane.Ask, timeout time.Duration) (statement.Status, error) {
+// SendCommand sends a target a command that is answered with its status, and records the reply.
+func (g *Group) Order(ctx context.Context, id target.ID, cmd lane.Ask, timeout time.Duration) (statement.Status, error) {
 	sent := g.cfg.Clock.Now()
-	rows, err := g.cfg.Asker.Control(ctx, id, ask, timeout)
-	return g.answered(id, rows, spending.Change, sent, err)
+	rows, err := g.cfg.Asker.Control(ctx, id, cmd, timeout)
+	return g.handleReply(id, rows, spending.Change, sent, err)
 }
 
-// answered takes over a target's own answer to a question or an order.
-func (g *Group) answered(id target.ID, rows []string, why spending.Reason, sent clock.Time, err error) (statement.Status, error) {
+// handleReply records a target's own reply to a status query or command.
+func (g *Group) handleReply(id target.ID, rows []string, reason spending.Reason, sent clock.Time, err error) (statement.Status, error) {
 	if g.cfg.Asked != nil {
-		g.cfg.Asked(why)
+		g.cfg.Asked(reason)
 	}
 	if lane.Answered(err) {
 		g.Health.Answered(id)
@@ -273,12 +272,12 @@
 
 func (g *Group) decode(id target.ID, rows []string) (statement.Status, error) {
 	if len(rows) == 0 {
-		return statement.Status{}, errors.Errorf("%s gave no status", id)
+		return statement.Status{}, errors.Errorf("reply of %s contains no status row", id)
 	}
 	return g.cfg.Decode(rows[0])
 }
 
-// observe turns a status into evidence for reads.
+// observe derives evidence for reads from a status.
 func (g *Group) observe(id target.ID, s statement.Status, sent clock.Time) {
 	if s.Role == target.RolePrimary {
 		g.Freshness.Sample(s.Term, id, sent, s.Received)
@@ -289,8 +288,8 @@
 	}
 }
 
-// Primary returns the target that leads, waiting until one is known. The term
-// is never 0: a claim is verified before it is used.
+// Primary returns the target that leads, and waits until one is known. The term is never 0: a claim
+// is verified before it is used.
 func (g *Group) Primary(ctx context.Context) (leadership.Belief, error) {
 	for {
 		g.mu.Lock()
@@ -300,33 +299,33 @@
 		if b.Primary != "" && b.Term != 0 && !g.Deposing(b.Primary) && g.MayWork(b.Primary) {
 			return b, nil
 		}
-		g.discoverSoon()
+		g.discoverIfDue()
 		select {
 		case <-changed:
-		case <-time.After(discoverEvery):
+		case <-time.After(discoverInterval):
 		case <-ctx.Done():
 			return b, ErrNoPrimary
 		}
 	}
 }
 
-// Rediscover asks all targets who leads, because what was believed was
-// contradicted.
-func (g *Group) Rediscover() { g.discoverSoon() }
+// Rediscover queries all targets for the primary, because the current state was contradicted.
+func (g *Group) Rediscover() { g.discoverIfDue() }
 
-// discoverSoon asks who leads, unless that was done just now.
-func (g *Group) discoverSoon() {
+// discoverIfDue queries the targets for the primary, unless the interval since the last round has
+// not passed.
+func (g *Group) discoverIfDue() {
 	g.mu.Lock()
 	now := g.cfg.Clock.Now()
-	since := now.Sub(g.discovered)
-	first := g.discovered == 0 || since > forgetRounds
-	due := since >= g.pause || g.discovered == 0
+	since := now.Sub(g.discoveredAt)
+	first := g.discoveredAt == 0 || since > discoverResetAfter
+	due := since >= g.discoverPause || g.discoveredAt == 0
 	if due {
-		g.pause = min(max(g.pause+g.pause/2, discoverEvery), maxDiscover)
+		g.discoverPause = min(max(g.discoverPause+g.discoverPause/2, discoverInterval), maxDiscoverInterval)
 		if first {
-			g.pause = discoverEvery
+			g.discoverPause = discoverInterval
 		}
-		g.discovered = now
+		g.discoveredAt = now
 	}
 	g.mu.Unlock()
 	if due {
@@ -334,33 +333,32 @@
 	}
 }
 
-// termAge is how old a target's word may be of the term in which it leads: a term
-// stays, and if another one leads by now, a request finds out.
-const termAge = time.Second
+// maxTermAge is how old a target's report may be of the term in which it leads: a target's term
+// does not change, and if another target leads by now, a request finds out.
+const maxTermAge = time.Second
 
-// discover asks who leads. If one target is listed to, the first question is for its
-// term alone; the next ones are for all. That the believed primary does not answer
-// counts as its failure: a VM that has just started may never have reached it, and
-// would otherwise wait for it for ever.
+// discover queries the targets for the primary. If one target is listed as the primary, the first
+// query is for its term alone; the following rounds query all targets. A query that the current
+// primary does not answer counts as its failure: a VM that has just started may never have reached
+// it, and would otherwise wait for it without end.
 //
-// Failure guarded against: every VM of a large fleet asks all targets of each service
-// that it meets, when the fleet starts and after each end of it, though nobody
-// contests the lead.
+// Failure guarded against: every VM of a large fleet queries all targets of each service on its
+// first use, as when the fleet starts, although no other target claims to lead.
 func (g *Group) discover(first bool) {
 	if b := g.Leadership.Believed(); first && b.Primary != "" && b.Term == 0 && !b.Contested {
-		go g.Ask(context.Background(), b.Primary, spending.Discovery, termAge, askTimeout)
+		go g.Ask(context.Background(), b.Primary, spending.Discovery, maxTermAge, statusTimeout)
 		return
 	}
 	for _, t := range g.cfg.Catalog.Load().ByService[g.Service] {
-		go g.Ask(context.Background(), t.ID, spending.Discovery, discoverEvery, askTimeout)
+		go g.Ask(context.Background(), t.ID, spending.Discovery, discoverInterval, statusTimeout)
 	}
 }
 
-// Ask asks a target for its account of itself, which may be maxAge old, and counts silence as a failure
-// from the moment of the question on.
-func (g *Group) Ask(ctx context.Context, id target.ID, why spending.Reason, maxAge, timeout time.Duration) {
+// Probe queries a target for its status, which may be maxAge old, and records a missing reply as a
+// failure that began when the query was sent.
+func (g *Group) Ask(ctx context.Context, id target.ID, reason spending.Reason, maxAge, timeout time.Duration) {
 	sent := g.cfg.Clock.Now()
-	_, _, err := g.Recent(ctx, id, why, maxAge, timeout)
+	_, _, err := g.Recent(ctx, id, reason, maxAge, timeout)
 	if err == nil || lane.Answered(err) {
 		return
 	}
--- a/groups/health.go
+++ b/groups/health.go
@@ -9,47 +9,44 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// HoldAfter is how long a write must have been left without an answer, while no
-// other was acknowledged, for those that come next to wait for what becomes of
-// it: as long as for the primary to be taken for stalled. Less holds back the writes
-// of primaries that are merely busy.
+// HoldAfter is how long a write must have been unanswered, while no other was acknowledged, for
+// subsequent writes to wait for its outcome. It is the time after which the primary counts as
+// stalled; a shorter time holds back the writes of primaries that are merely busy.
 const HoldAfter = takeover.StalledAfter
 
-// Health tells, from requests and questions, since when the primary has not
-// answered, and since when it has acknowledged no write. It is safe for
-// concurrent use.
+// Health measures, from requests and status queries, since when the primary has not answered, and
+// since when it has acknowledged no write. It is safe for concurrent use.
 type Health struct {
-	mu       sync.Mutex
-	primary  target.ID
-	failing  clock.Time // since the first failure after the last answer
-	refusals int
-	waiting  int        // statements sent and not answered
-	quiet    clock.Time // since when none of them was answered
-	writes   int        // writes and commits sent and not answered
-	stalled  clock.Time // since when none of those was answered
-	next     *WriteEnd  // of the next write that ends; nil if nobody waits for it
+	mu              sync.Mutex
+	primary         target.ID
+	failingSince    clock.Time // since the first failure after the last answer
+	refusals        int
+	waiting         int        // number of statements sent and not answered
+	unansweredSince clock.Time // since when none of the waiting statements was answered
+	writes          int        // number of writes and commits sent and not answered
+	stalledSince    clock.Time // since when none of the waiting writes was answered
+	next            *WriteEnd  // the next write that ends; nil if no request waits for it
 }
 
-// WriteEnd is what became of the write that others wait for.
+// WriteEnd is the outcome of a write that other writes wait for.
 type WriteEnd struct {
-	// Done is closed once it has ended.
+	// Done is closed once the write has ended.
 	Done chan struct{}
-	// Answered may be read after that.
+	// Answered reports whether it was answered. It may be read once Done is closed.
 	Answered bool
 }
 
-// Hold returns what a new write to a target should wait for; nil if it need not.
+// Hold returns the write that a new write to a target should wait for; nil if it need not wait.
 //
-// Failure guarded against: a primary that cannot reach its replicas answers
-// reads, and leaves every write waiting. Each consumer that sends one is left in
-// doubt, one after the other, until the primary is replaced or its replicas are
-// back. It holds because once a write has been left waiting for HoldAfter the
-// others wait here, where they surely have not run; one at a time goes on, so
-// that the end of the trouble is seen.
+// Failure guarded against: a primary that cannot reach its replicas answers reads, and leaves every
+// write unanswered. Each consumer that sends a write is left in doubt, one after the other, until
+// the primary is replaced or its replicas are back. Once a write has been unanswered for HoldAfter,
+// the others wait here, where they certainly have not run. One write at a time proceeds, so that
+// the end of the failure is detected.
 func (h *Health) Hold(id target.ID, now clock.Time) *WriteEnd {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if id != h.primary || h.writes == 0 || now.Sub(h.stalled) < HoldAfter {
+	if id != h.primary || h.writes == 0 || now.Sub(h.stalledSince) < HoldAfter {
 		return nil
 	}
 	if h.next == nil {
@@ -58,7 +55,7 @@
 	return h.next
 }
 
-// writeEnded tells those who wait for it what became of a write.
+// writeEnded reports a write's outcome to the writes that wait for it. The caller holds the lock.
 func (h *Health) writeEnded(answered bool) {
 	if h.next == nil {
 		return
@@ -68,7 +65,7 @@
 	h.next = nil
 }
 
-// Watch makes the target the one whose health is kept.
+// Watch makes a target the one whose health is tracked.
 func (h *Health) Watch(id target.ID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -76,19 +73,19 @@
 		return
 	}
 	h.writeEnded(false)
-	h.primary, h.failing, h.refusals = id, 0, 0
-	h.waiting, h.quiet, h.writes, h.stalled = 0, 0, 0, 0
+	h.primary, h.failingSince, h.refusals = id, 0, 0
+	h.waiting, h.unansweredSince, h.writes, h.stalledSince = 0, 0, 0, 0
 }
 
-// Watched is the target whose health is kept.
+// Watched returns the target whose health is tracked.
 func (h *Health) Watched() target.ID {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.primary
 }
 
-// Sent records a statement on its way. The returned function must be called
-// with the outcome: whether an answer came.
+// Sent records that a statement was sent. The returned function must be called with the outcome:
+// whether it was answered.
 func (h *Health) Sent(id target.ID, now clock.Time, write bool) func(now clock.Time, answered bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -96,12 +93,12 @@
 		return func(clock.Time, bool) {}
 	}
 	if h.waiting == 0 {
-		h.quiet = now
+		h.unansweredSince = now
 	}
 	h.waiting++
 	if write {
-		if h.writes == 0 && h.stalled == 0 {
-			h.stalled = now
+		if h.writes == 0 && h.stalledSince == 0 {
+			h.stalledSince = now
 		}
 		h.writes++
 	}
@@ -116,7 +113,7 @@
 	}
 	h.waiting = max(h.waiting-1, 0)
 	if answered {
-		h.quiet, h.failing, h.refusals = now, 0, 0
+		h.unansweredSince, h.failingSince, h.refusals = now, 0, 0
 	}
 	if !write {
 		return
@@ -125,60 +122,61 @@
 	h.writeEnded(answered)
 	switch {
 	case answered && h.writes == 0:
-		h.stalled = 0
+		h.stalledSince = 0
 	case answered:
-		h.stalled = now
+		h.stalledSince = now
 	}
 }
 
-// Answered records an answer of the target to a question of our own.
+// Answered records that the target replied to one of the fleet's own queries.
 func (h *Health) Answered(id target.ID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if id == h.primary {
-		h.failing, h.refusals = 0, 0
+		h.failingSince, h.refusals = 0, 0
 	}
 }
 
-// Failing returns since when a target has failed to answer; 0 if it answers.
+// Failing returns since when a target has failed to answer; 0 if it answers or is not the tracked
+// one.
 func (h *Health) Failing(id target.ID) clock.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if id != h.primary {
 		return 0
 	}
-	return h.failing
+	return h.failingSince
 }
 
-// Failed records that the target did not answer. A refused connection shows
-// that no process listens there, which silence does not.
+// Failed records that the target did not answer. A refused connection shows that no process listens
+// there, which a missing reply does not show.
 func (h *Health) Failed(id target.ID, now clock.Time, refused bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if id != h.primary {
 		return
 	}
-	if h.failing == 0 {
-		h.failing = now
+	if h.failingSince == 0 {
+		h.failingSince = now
 	}
 	if refused {
 		h.refusals++
 	}
 }
 
-// Signs is what Health has seen.
+// Symptoms is what Health has observed.
 type Signs struct {
-	// Silent is how long the target has failed to answer.
+	// Unresponsive is how long the target has failed to answer.
 	Silent time.Duration
 	// Refusals counts the connections refused in that time.
 	Refusals int
-	// Quiet is how long statements have waited with none answered.
+	// Unanswered is how long statements have waited with none answered.
 	Quiet time.Duration
 	// Stalled is how long writes have waited with none answered.
 	Stalled time.Duration
 }
 
-// Signs returns what was seen of the target.
+// Symptoms returns what was observed of the target.
 func (h *Health) Signs(id target.ID, now clock.Time) Signs {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -186,25 +184,25 @@
 		return Signs{}
 	}
 	s := Signs{Refusals: h.refusals}
-	if h.failing != 0 {
-		s.Silent = now.Sub(h.failing)
+	if h.failingSince != 0 {
+		s.Silent = now.Sub(h.failingSince)
 	}
 	if h.waiting > 0 {
-		s.Quiet = now.Sub(h.quiet)
+		s.Quiet = now.Sub(h.unansweredSince)
 	}
-	if h.stalled != 0 {
-		s.Stalled = now.Sub(h.stalled)
+	if h.stalledSince != 0 {
+		s.Stalled = now.Sub(h.stalledSince)
 	}
 	return s
 }
 
-// Reset forgets all failures, as after this VM itself stood still: what went
-// unanswered then says nothing about the target.
+// Reset discards all failures, as after this VM itself was suspended: requests that went unanswered
+// then do not show a fault of the target.
 func (h *Health) Reset(now clock.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.failing, h.refusals, h.quiet = 0, 0, now
-	if h.stalled != 0 {
-		h.stalled = now
+	h.failingSince, h.refusals, h.unansweredSince = 0, 0, now
+	if h.stalledSince != 0 {
+		h.stalledSince = now
 	}
 }
--- a/groups/health_test.go
+++ b/groups/health_test.go
@@ -11,7 +11,7 @@
 
 func ms(n int) clock.Time { return clock.Time(time.Duration(n+1) * time.Millisecond) }
 
-func TestSilenceCountsFromTheFirstFailure(t *testing.T) {
+func TestUnresponsiveCountsFromTheFirstFailure(t *testing.T) {
 	var h Health
 	h.Watch("p")
 	h.Failed("p", ms(100), true)
@@ -24,8 +24,8 @@
 	require.Equal(t, Signs{}, h.Signs("p", ms(500)))
 }
 
-// A primary that is cut off from its replicas answers reads and questions, and
-// leaves every write waiting.
+// A primary that is cut off from its replicas answers reads and status queries, and leaves every
+// write unanswered.
 func TestStalledWritesShowThoughReadsAreAnswered(t *testing.T) {
 	var h Health
 	h.Watch("p")
@@ -35,12 +35,12 @@
 	}
 	require.Equal(t, 700*time.Millisecond, h.Signs("p", ms(700)).Stalled)
 	h.Sent("p", ms(700), true)(ms(720), true)
-	require.Less(t, h.Signs("p", ms(800)).Stalled, 100*time.Millisecond, "one that is acknowledged shows that others may be")
+	require.Less(t, h.Signs("p", ms(800)).Stalled, 100*time.Millisecond, "an acknowledged write shows that others may be acknowledged")
 }
 
-// This VM was suspended for seconds. Nothing was answered meanwhile, which says
-// nothing of the primary.
-func TestOwnStandstillIsForgiven(t *testing.T) {
+// This VM was suspended for seconds. Nothing was answered meanwhile, which does not show a fault of
+// the primary.
+func TestOwnSuspensionResetsFailures(t *testing.T) {
 	var h Health
 	h.Watch("p")
 	h.Sent("p", ms(0), true)
@@ -62,8 +62,8 @@
 	require.Equal(t, Signs{}, h.Signs("q", ms(1000)))
 }
 
-// Writes that come once one was left waiting for HoldAfter are held, until it has
-// ended, or the primary is another one. One goes on after that.
+// Writes that arrive once another one has been unanswered for HoldAfter are held until that one has
+// ended or another target is the primary. Then one write proceeds.
 func TestWritesAreHeldBehindOneThatIsNotConfirmed(t *testing.T) {
 	var h Health
 	h.Watch("p")
@@ -76,10 +76,10 @@
 	first(ms(650), false)
 	<-held.Done
 	require.False(t, held.Answered)
-	require.Nil(t, h.Hold("p", ms(650)), "one write goes on, to see if the trouble has ended")
+	require.Nil(t, h.Hold("p", ms(650)), "one write proceeds, to detect that the failure has ended")
 	second := h.Sent("p", ms(660), true)
 	held = h.Hold("p", ms(661))
-	require.NotNil(t, held, "the others wait for it")
+	require.NotNil(t, held, "the others wait for that write")
 	second(ms(680), true)
 	<-held.Done
 	require.True(t, held.Answered)
--- a/groups/lives_test.go
+++ b/groups/incarnations_test.go
@@ -10,8 +10,8 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// listing is a catalog of one service with a primary "p" and a replica "r" that runs
-// in the given incarnation.
+// listing is a catalog of one service with a primary "p" and a replica "r" of the given
+// incarnation.
 func listing(h *catalog.Holder, incarnation, revision int64) *catalog.Catalog {
 	h.SetConfig(&catalog.Config{Version: 1, Services: map[string]*catalog.Service{"s": {Name: "s"}}})
 	h.SetTargets(map[target.ID]*catalog.Target{
@@ -21,33 +21,33 @@
 	return h.Load()
 }
 
-// An attempt has paused a replica, which starts again and follows the old primary as
-// if nothing was. A VM that has not heard of the attempt must not take its word for a
-// proof that the primary still leads: not before it knows every record up to the
-// entry of the new life, nor while one of them is open or names another primary.
-func TestReplicaThatStartedAgainVouchesOnlyOnceTheRecordsAreKnown(t *testing.T) {
+// An attempt has paused a replica, which restarts and follows the old primary as before. A VM that
+// has not received the attempt's record must not accept the replica as a witness for the primary
+// before it has every record up to the entry of the new incarnation, nor while one of them is open
+// or names another primary.
+func TestRestartedReplicaIsWitnessOnlyOnceRecordsAreKnown(t *testing.T) {
 	h := catalog.NewHolder()
 	r := NewRegistry(Config{Catalog: h, Clock: &manual{now: 1}, Log: zap.NewNop()})
 	r.Update(listing(h, 7, 10))
 	g := r.Group("s")
-	require.True(t, g.Vouches("r"), "it is known in one life only")
+	require.True(t, g.Vouches("r"), "only one incarnation of it is known")
 
 	r.Update(listing(h, 8, 20))
 	require.False(t, g.Vouches("r"))
 	require.True(t, g.Vouches("p"))
 	h.SetFleet(nil, nil, 19)
-	require.False(t, g.Vouches("r"), "the records are older than its entry")
+	require.False(t, g.Vouches("r"), "the known records are older than its entry")
 	h.SetFleet(nil, map[string]*catalog.Reign{"s": {Service: "s", Revision: 15, Attempt: &catalog.Attempt{Deposed: "p"}}}, 21)
-	require.False(t, g.Vouches("r"), "an attempt is open that it may have been paused for")
+	require.False(t, g.Vouches("r"), "it may have been paused for the open attempt")
 	h.SetFleet(nil, map[string]*catalog.Reign{"s": {Service: "s", Revision: 22, Primary: "q"}}, 22)
 	require.False(t, g.Vouches("r"), "another target leads")
 	h.SetFleet(nil, map[string]*catalog.Reign{"s": {Service: "s", Revision: 23, Primary: "p"}}, 23)
 	require.True(t, g.Vouches("r"))
 }
 
-// A primary starts again with nothing under its id, and its entry has not changed but
-// for its birth. What it told as the primary before must not count any more.
-func TestPrimaryThatStartedAgainHasNoTermToTell(t *testing.T) {
+// A primary restarts with an empty log under its id, and its entry changes only in its incarnation.
+// The status that it reported as the primary before must not count any more.
+func TestRestartedPrimaryHasNoTerm(t *testing.T) {
 	h := catalog.NewHolder()
 	r := NewRegistry(Config{Catalog: h, Clock: &manual{now: 1}, Log: zap.NewNop()})
 	r.Update(listing(h, 7, 10))
@@ -60,9 +60,8 @@
 	require.EqualValues(t, 4, g.Leadership.Highest(), "terms only grow")
 }
 
-// Another writer's entry names a service that the operator has never heard of. Nobody
-// looks for its primary.
-func TestServiceThatNobodyPublishedHasNoGroup(t *testing.T) {
+// An entry of another writer names a service that is not published. No VM looks for its primary.
+func TestUnpublishedServiceHasNoGroup(t *testing.T) {
 	h := catalog.NewHolder()
 	r := NewRegistry(Config{Catalog: h, Clock: &manual{now: 1}, Log: zap.NewNop()})
 	listing(h, 7, 10)
--- /dev/null
+++ b/groups/latereads_test.go
@@ -0,0 +1,26 @@
+package groups
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"endivemoor.example/endivemoor/clock"
+)
+
+// Reads are late repeatedly for some time. A single late read long after that begins a new run.
+func TestLateReadsDuration(t *testing.T) {
+	var c Crowd
+	start := clock.Time(time.Hour)
+	require.Zero(t, c.For(start))
+	for i := range 5 {
+		c.Late(start.Add(time.Duration(i) * lateReadGap))
+	}
+	end := start.Add(4 * lateReadGap)
+	require.Equal(t, 4*lateReadGap, c.For(end))
+	require.Equal(t, 5*lateReadGap, c.For(end.Add(lateReadGap)))
+	require.Zero(t, c.For(end.Add(lateReadGap+1)))
+	c.Late(end.Add(2 * lateReadGap))
+	require.Zero(t, c.For(end.Add(2*lateReadGap)))
+}
--- a/groups/registry_test.go
+++ b/groups/registry_test.go
@@ -10,7 +10,7 @@
 	"endivemoor.example/endivemoor/clock"
 )
 
-// manual is a clock that only the test moves.
+// manual is a clock that only the test advances.
 type manual struct{ now clock.Time }
 
 func (m *manual) Now() clock.Time { return m.now }
@@ -32,10 +32,10 @@
 	return out
 }
 
-// A fleet has thousands of services, and a VM's consumers use one. The VM looks at
-// that one all the time, and at each of the others now and then, or it would spend
-// what it has for control on services that it has nothing to do with.
-func TestUsedServicesAreLookedAtAndOthersInTurn(t *testing.T) {
+// A fleet has thousands of services, and a VM's consumers use one of them. The VM checks that one
+// in each tick and each of the others only now and then, or it would spend its time for control on
+// services that it does not use.
+func TestUsedServicesAreDueEachTickAndOthersInRotation(t *testing.T) {
 	const services = 2900
 	r, clk := registryOf(services)
 	require.Empty(t, r.Used())
@@ -54,21 +54,21 @@
 	require.Equal(t, Ticks, seen["s7"])
 	require.Equal(t, 1, seen["s8"])
 
-	clk.now = clk.now.Add(useLasts - 1)
+	clk.now = clk.now.Add(inUseWindow - 1)
 	r.Use("s7")
-	clk.now = clk.now.Add(useLasts - 1)
-	require.Equal(t, []string{"s7"}, names(r.Used()), "its use goes on")
+	clk.now = clk.now.Add(inUseWindow - 1)
+	require.Equal(t, []string{"s7"}, names(r.Used()), "its use was renewed")
 	clk.now = clk.now.Add(1)
 	require.Empty(t, r.Used())
 }
 
-// With a few services, a VM that was started a moment ago has the proofs for all of
-// them before its first consumer asks.
+// With few services, a VM that has just started has the proofs for all of them before its first
+// request.
 func TestAFewServicesAllCountAsUsed(t *testing.T) {
-	r, _ := registryOf(few)
+	r, _ := registryOf(allUsedLimit)
 	require.True(t, r.Few())
-	require.Len(t, r.Used(), few)
-	require.Len(t, r.Due(3), few)
+	require.Len(t, r.Used(), allUsedLimit)
+	require.Len(t, r.Due(3), allUsedLimit)
 	r.Group("one more")
 	require.False(t, r.Few())
 	require.Empty(t, r.Used())
--- a/groups/witness.go
+++ b/groups/witness.go
@@ -15,52 +15,51 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// samplePart is the part of the age which a read accepts that the sample it goes by may
-// have.
-const samplePart = 0.25
+// sampleAgeFraction is the fraction of the age accepted by a read that its sample may have.
+const sampleAgeFraction = 0.25
 
 const (
-	// renewAge is how old a witness may be that renews a gateway's: the gateways to
-	// one primary share their questions.
-	renewAge = 100 * time.Millisecond
-	// renewTurn is how long one replica is asked first: a dead one must not hold up
+	// renewMaxAge is how old a cached status may be that renews a gateway's witness: the gateways
+	// to one primary share their status queries.
+	renewMaxAge = 100 * time.Millisecond
+	// renewRotation is how long one replica is queried first: an unresponsive one must not delay
 	// all renewals.
-	renewTurn = time.Second
-	// nextWay is how long one way to a proof may take before the next one is tried
-	// beside it: longer than a question that waits for a slot usually does.
-	nextWay = 80 * time.Millisecond
-	// lookEvery is how often silent replicas are asked whether they answer again.
-	lookEvery = time.Second
+	renewRotation = time.Second
+	// nextSourceDelay is how long one source of a proof may take before the next one is tried in
+	// parallel: longer than a query that waits for a slot usually takes.
+	nextSourceDelay = 80 * time.Millisecond
+	// replicaCheckInterval is how often unresponsive replicas are queried whether they answer
+	// again.
+	replicaCheckInterval = time.Second
 )
 
-// Replicas returns the targets other than the primary, those that stay first.
+// Replicas returns the targets other than the primary, draining ones last.
 func (g *Group) Replicas(primary target.ID) []*catalog.Target {
-	var stay, leave []*catalog.Target
+	var staying, draining []*catalog.Target
 	for _, t := range g.cfg.Catalog.Load().ByService[g.Service] {
 		switch {
 		case t.ID == primary:
 		case t.Draining:
-			leave = append(leave, t)
+			draining = append(draining, t)
 		default:
-			stay = append(stay, t)
+			staying = append(staying, t)
 		}
 	}
-	return append(stay, leave...)
+	return append(staying, draining...)
 }
 
-// Witness proves that nobody was promoted beyond the believed primary's term at
-// some moment after it was called. A replica asked since then that still
-// follows the term and is not paused for a later one proves it, for a promotion
-// pauses all of them first. If none can say so, as when the other targets are
-// dead or receive nothing, the store is asked: every promotion is recorded
+// Witness proves that no target was promoted beyond the current primary's term at some time after
+// the call. A replica queried since then that still follows the term and is not paused for a later
+// one proves it, since a promotion pauses all of them first. If no replica can prove it, as when
+// the other targets are dead or receive nothing, the store is read: every promotion is recorded
 // there before it begins.
 func (g *Group) Witness(ctx context.Context, b leadership.Belief, first int) error {
 	return g.witnessSince(ctx, b, first, g.cfg.Clock.Now())
 }
 
-// Prove proves that the believed primary had not been replaced when a request
-// arrived. Where this VM may have a permission, a witness that was asked as shortly
-// before as one allows proves it as well, whichever VM has asked.
+// Prove proves that the current primary had not been replaced when a request arrived. If this VM
+// may have a permission, a witness that was queried before the arrival, within Permission, proves
+// it as well, whichever VM has sent the query.
 func (g *Group) Prove(ctx context.Context, b leadership.Belief, first int, arrived clock.Time) error {
 	if g.Permitted(b, arrived) {
 		return nil
@@ -76,35 +75,35 @@
 	return err
 }
 
-// witnessSince proves that nobody was promoted at some moment after the given one.
+// witnessSince proves that no target was promoted at some time after the given one.
 //
-// Failure guarded against: a primary leads on this side of a network partition and its
-// replicas are on the other, or silent for another reason. Asked one after the other
-// they hold up each exact read for longer than its consumer waits. So the next way is
-// tried beside one that takes long.
+// Failure guarded against: the primary is on this side of a network partition and its replicas are
+// on the other, or are unresponsive for another reason. Queried one after the other they delay each
+// exact read for longer than its consumer waits. So the next source is tried in parallel with one
+// that takes long.
 func (g *Group) witnessSince(ctx context.Context, b leadership.Belief, first int, since clock.Time) error {
 	if g.Freshness.WitnessedSince(b.Term, since) {
 		return nil
 	}
-	replicas, record := g.ways(b, first, since)
-	return tryInTurn(ctx, append(replicas, record))
+	replicas, record := g.proofSources(b, first, since)
+	return tryStaggered(ctx, append(replicas, record))
 }
 
-// way is one way to a proof. ErrNoWitness says that it did not lead there.
-type way func(ctx context.Context) error
+// proofSource is one source of a proof. It returns ErrNoWitness if it has none.
+type proofSource func(ctx context.Context) error
 
-// tryInTurn tries the ways until one leads to a proof or shows that there is none,
-// the next one once the one before has failed or takes long.
-func tryInTurn(ctx context.Context, ways []way) error {
+// tryStaggered tries the sources until one returns a proof or shows that there is none. The next
+// one is started once the one before has failed or has taken nextSourceDelay.
+func tryStaggered(ctx context.Context, sources []proofSource) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	results := make(chan error, len(ways))
-	next := time.NewTicker(nextWay)
+	results := make(chan error, len(sources))
+	next := time.NewTicker(nextSourceDelay)
 	defer next.Stop()
 	started, running := 0, 0
 	for {
-		if started < len(ways) {
-			try := ways[started]
+		if started < len(sources) {
+			try := sources[started]
 			started++
 			running++
 			go func() { results <- try(ctx) }()
@@ -119,29 +118,29 @@
 		case <-ctx.Done():
 			return ErrNoWitness
 		}
-		if started == len(ways) && running == 0 {
+		if started == len(sources) && running == 0 {
 			return ErrNoWitness
 		}
 	}
 }
 
-// ways are those to a proof, the replicas in the order in which they are asked.
-func (g *Group) ways(b leadership.Belief, first int, since clock.Time) (replicas []way, record way) {
+// proofSources returns the sources of a proof, the replicas in the order in which they are queried.
+func (g *Group) proofSources(b leadership.Belief, first int, since clock.Time) (replicas []proofSource, record proofSource) {
 	all := g.Replicas(b.Primary)
 	for i := range all {
 		id := all[(first+i)%len(all)].ID
-		replicas = append(replicas, func(ctx context.Context) error { return g.askReplica(ctx, b, id, since) })
+		replicas = append(replicas, func(ctx context.Context) error { return g.witnessByReplica(ctx, b, id, since) })
 	}
 	return replicas, func(ctx context.Context) error { return g.witnessByRecord(ctx, b) }
 }
 
-// askReplica asks one replica to be the witness.
-func (g *Group) askReplica(ctx context.Context, b leadership.Belief, id target.ID, since clock.Time) error {
-	vouches := g.Vouches(id)
+// witnessByReplica queries one replica as the witness.
+func (g *Group) witnessByReplica(ctx context.Context, b leadership.Belief, id target.ID, since clock.Time) error {
+	canWitness := g.Vouches(id)
 	maxAge := max(g.cfg.Clock.Now().Sub(since), 0)
-	s, _, err := g.Recent(ctx, id, spending.Witness, maxAge, askTimeout)
+	s, _, err := g.Recent(ctx, id, spending.Witness, maxAge, statusTimeout)
 	switch {
-	case !vouches || err != nil || s.Role != target.RoleReplica || s.Paused != 0:
+	case !canWitness || err != nil || s.Role != target.RoleReplica || s.Paused != 0:
 		return ErrNoWitness
 	case s.Term == b.Term:
 		return nil
@@ -153,14 +152,13 @@
 	}
 }
 
-// Permitted reports whether the primary may be taken for unchanged at the
-// moment of a request, without a question: a witness was asked so shortly
-// before that no attempt can have got past its fences since.
+// Permitted reports whether the primary may be assumed unchanged at the time of a request, without
+// a query: a witness was queried so recently that no attempt can have got past its fences since.
 //
-// Failure guarded against: an exact read at a primary that was replaced a
-// moment ago. It holds because an attempt promotes nobody before every VM on
-// the fleet's list has given up its permission, or Permission has passed since
-// the last target was paused; and a VM that is not surely on the list has none.
+// Failure guarded against: an exact read at a primary that was just replaced. An attempt promotes
+// no target before every VM on the fleet's list has given up its permission, or Permission has
+// passed since the last target was paused, and a VM that is not certainly on the list has no
+// permission.
 func (g *Group) Permitted(b leadership.Belief, arrived clock.Time) bool {
 	if !g.cfg.Eligible() || g.hasRevoked() {
 		return false
@@ -168,7 +166,7 @@
 	return g.Freshness.WitnessedSince(b.Term, arrived.Add(-takeover.Permission))
 }
 
-// hasRevoked reports whether an attempt is under way, as far as is known.
+// hasRevoked reports whether an attempt is known to be under way.
 func (g *Group) hasRevoked() bool {
 	r := g.cfg.Catalog.Load().Reigns[g.Service]
 	if r != nil && r.Attempt != nil {
@@ -176,46 +174,45 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ended := r != nil && endedSince(r, g.revoked)
-	return g.revoked != 0 && !ended && g.cfg.Clock.Now().Sub(g.revokedAt) < takeover.Lapse
+	ended := r != nil && endedSince(r, g.revokedRevision)
+	return g.revokedRevision != 0 && !ended && g.cfg.Clock.Now().Sub(g.revokedAt) < takeover.Lapse
 }
 
-// endedSince reports whether a record tells that the attempt of a revision has ended. One
-// of a later era of the store tells nothing of it: the attempt's own may be lost while its
-// holder goes on.
+// endedSince reports whether a record shows that the attempt of a revision has ended. A record of a
+// later era of the store does not show it: the attempt's own record may be lost while its holder
+// continues.
 func endedSince(r *catalog.Reign, revoked catalog.Revision) bool {
 	return r.Revision > revoked && catalog.EraOf(r.Revision) == catalog.EraOf(revoked)
 }
 
-// Revoke gives up this VM's permission for the attempt of a revision, which is
-// to replace a primary.
-func (g *Group) Revoke(revision int64, deposed target.ID) {
+// Revoke gives up this VM's permission for the attempt of a revision, which is to replace a
+// primary.
+func (g *Group) Revoke(revision int64, replaced target.ID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if revision > g.revoked {
-		g.revoked, g.revokedAt, g.deposed = revision, g.cfg.Clock.Now(), deposed
+	if revision > g.revokedRevision {
+		g.revokedRevision, g.revokedAt, g.replaced = revision, g.cfg.Clock.Now(), replaced
 	}
 }
 
-// Deposing reports whether a primary is being replaced, as this VM was told by
-// the holder of the attempt. Nothing new is sent to it meanwhile, and nothing
-// that it confirms is acknowledged.
+// BeingReplaced reports whether a primary is being replaced, as the holder of the attempt has
+// reported to this VM. Nothing new is sent to that primary meanwhile, and nothing that it confirms
+// is acknowledged.
 func (g *Group) Deposing(id target.ID) bool {
 	r := g.cfg.Catalog.Load().Reigns[g.Service]
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ended := r != nil && r.Attempt == nil && endedSince(r, g.revoked)
-	return id != "" && id == g.deposed && !ended && g.cfg.Clock.Now().Sub(g.revokedAt) < takeover.Lapse
+	ended := r != nil && r.Attempt == nil && endedSince(r, g.revokedRevision)
+	return id != "" && id == g.replaced && !ended && g.cfg.Clock.Now().Sub(g.revokedAt) < takeover.Lapse
 }
 
-// witnessByRecord is the store's word for Witness.
+// witnessByRecord reads the store's record as the proof for Witness.
 //
-// Failure guarded against: the store comes back from a copy that it made before a primary
-// was replaced, and its record says that nothing has changed. A record counts in the era
-// in which it was written.
+// Failure guarded against: the store is restored from a copy made before a primary was replaced,
+// and its record shows no change. A record counts only in the era in which it was written.
 func (g *Group) witnessByRecord(ctx context.Context, b leadership.Belief) error {
-	asked := g.cfg.Clock.Now()
-	if g.knownSuperseded(b, asked) {
+	queried := g.cfg.Clock.Now()
+	if g.knownSuperseded(b, queried) {
 		return ErrSuperseded
 	}
 	r, err := g.cfg.Records.Current(ctx, g.Service)
@@ -227,51 +224,51 @@
 		return ErrNoWitness
 	}
 	if r.Attempt != nil || replaced {
-		g.noteSuperseded(b, asked, replaced && r.Attempt == nil)
+		g.recordSuperseded(b, queried, replaced && r.Attempt == nil)
 		g.Rediscover()
 		return ErrSuperseded
 	}
-	g.Freshness.WitnessByRecord(b.Term, b.Primary, asked)
+	g.Freshness.WitnessByRecord(b.Term, b.Primary, queried)
 	return nil
 }
 
 const (
-	// replacingLasts is how long the store's word holds that a primary is being replaced:
-	// about the time in which another one leads, or the attempt is given up.
-	replacingLasts = 300 * time.Millisecond
-	// replacedLasts is how long its word holds that one was replaced: only another
-	// change takes that back.
-	replacedLasts = time.Second
+	// replacingTTL is how long a record counts that shows a primary being replaced: about the time
+	// in which another one leads, or the attempt is given up.
+	replacingTTL = 300 * time.Millisecond
+	// replacedTTL is how long a record counts that shows a primary replaced: only another change
+	// reverts that.
+	replacedTTL = time.Second
 )
 
-// superseded is a belief that the store's record has contradicted.
+// superseded is a state that the store's record has contradicted.
 type superseded struct {
-	belief leadership.Belief
-	until  clock.Time
+	state leadership.Belief
+	until clock.Time
 }
 
-// knownSuperseded reports whether the store has contradicted a belief just now.
+// knownSuperseded reports whether the store's record has contradicted a state, and still counts.
 //
-// Failure guarded against: a VM that does not reach the new primary goes by the old one,
-// which still answers, and reads the store's record again and again for each statement.
+// Failure guarded against: a VM that does not reach the new primary uses the old one, which still
+// answers, and reads the store's record for each statement.
 func (g *Group) knownSuperseded(b leadership.Belief, now clock.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.superseded.belief == b && now.Before(g.superseded.until)
+	return g.superseded.state == b && now.Before(g.superseded.until)
 }
 
-func (g *Group) noteSuperseded(b leadership.Belief, now clock.Time, replaced bool) {
-	lasts := replacingLasts
+func (g *Group) recordSuperseded(b leadership.Belief, now clock.Time, replaced bool) {
+	ttl := replacingTTL
 	if replaced {
-		lasts = replacedLasts
+		ttl = replacedTTL
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.superseded = superseded{belief: b, until: now.Add(lasts)}
+	g.superseded = superseded{state: b, until: now.Add(ttl)}
 }
 
-// Renew asks a replica for a witness, without being waited for. Calls while it asks
-// are one.
+// Renew queries a replica as a witness in the background. Calls while a renewal runs start no
+// other.
 func (g *Group) Renew() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -288,75 +285,75 @@
 		g.renewing = false
 		g.mu.Unlock()
 	}()
-	ctx, cancel := context.WithTimeout(context.Background(), 2*askTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*statusTimeout)
 	defer cancel()
-	if err := g.renewBy(ctx, g.Leadership.Believed()); err != nil {
+	if err := g.renewWitness(ctx, g.Leadership.Believed()); err != nil {
 		g.cfg.Log.Debug("no-witness", zap.String("service", g.Service), zap.Error(err))
 	}
 }
 
-// renewBy asks the store first while the replicas are of no help: many VMs go by this
-// one's witness, and it must not grow old while replicas keep silent.
-func (g *Group) renewBy(ctx context.Context, b leadership.Belief) error {
+// renewWitness queries the store first while the replicas are unresponsive: many VMs use this one's
+// witness, which must not become outdated while replicas do not answer.
+func (g *Group) renewWitness(ctx context.Context, b leadership.Belief) error {
 	now := g.cfg.Clock.Now()
-	replicas, record := g.ways(b, int(now/clock.Time(renewTurn)), now.Add(-renewAge))
-	if g.replicasSilent() {
-		g.lookForReplicas(now, replicas)
-		return tryInTurn(ctx, append([]way{record}, replicas...))
+	replicas, record := g.proofSources(b, int(now/clock.Time(renewRotation)), now.Add(-renewMaxAge))
+	if g.replicasUnresponsive() {
+		g.checkReplicas(now, replicas)
+		return tryStaggered(ctx, append([]proofSource{record}, replicas...))
 	}
-	err := tryInTurn(ctx, append(replicas, record))
-	if took := g.cfg.Clock.Now().Sub(now); took >= nextWay*time.Duration(len(replicas)) {
-		g.noteReplicas(now.Add(took + lookEvery))
+	err := tryStaggered(ctx, append(replicas, record))
+	if took := g.cfg.Clock.Now().Sub(now); took >= nextSourceDelay*time.Duration(len(replicas)) {
+		g.scheduleReplicaCheck(now.Add(took + replicaCheckInterval))
 	}
 	return err
 }
 
-// replicasSilent reports whether the replicas were of no help lately.
-func (g *Group) replicasSilent() bool {
+// replicasUnresponsive reports whether the replicas failed to provide a witness in time at the last
+// renewal.
+func (g *Group) replicasUnresponsive() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.nextLook != 0
+	return g.nextReplicaCheck != 0
 }
 
-// noteReplicas sets when silent replicas are asked again; 0 is that they answer.
-func (g *Group) noteReplicas(nextLook clock.Time) {
+// scheduleReplicaCheck sets when unresponsive replicas are queried again; 0 means that they answer.
+func (g *Group) scheduleReplicaCheck(next clock.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.nextLook = nextLook
+	g.nextReplicaCheck = next
 }
 
-// lookForReplicas asks silent replicas every now and then, beside the store.
+// checkReplicas queries unresponsive replicas periodically, in parallel with the store.
 //
-// Failure guarded against: renewals that go back to the replicas to see whether they
-// answer again let the witness grow old meanwhile, and each VM that goes by it looks for
-// a proof of its own.
-func (g *Group) lookForReplicas(now clock.Time, replicas []way) {
+// Failure guarded against: renewals that query the replicas first, to see whether they answer
+// again, let the witness become outdated meanwhile, and each VM that uses it queries for a proof of
+// its own.
+func (g *Group) checkReplicas(now clock.Time, replicas []proofSource) {
 	g.mu.Lock()
-	due := now >= g.nextLook
+	due := now >= g.nextReplicaCheck
 	g.mu.Unlock()
 	if !due {
 		return
 	}
-	g.noteReplicas(now.Add(lookEvery))
+	g.scheduleReplicaCheck(now.Add(replicaCheckInterval))
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), 2*askTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), 2*statusTimeout)
 		defer cancel()
-		if tryInTurn(ctx, replicas) == nil {
-			g.noteReplicas(0)
+		if tryStaggered(ctx, replicas) == nil {
+			g.scheduleReplicaCheck(0)
 		}
 	}()
 }
 
-// Refresh sees to it that there is evidence for reads that accept an age: it asks the
-// primary, unless that was lately, and a replica. Those who call it at once share one
-// round.
+// Refresh renews the evidence for bounded-staleness reads: it queries the primary, unless that was
+// done recently, and a replica. Concurrent calls share one round.
 func (g *Group) Refresh(ctx context.Context, maxAge time.Duration) {
 	g.mu.Lock()
 	running := g.refreshing
 	if running == nil {
 		running = make(chan struct{})
 		g.refreshing = running
-		go g.refresh(running, time.Duration(samplePart*float64(maxAge)))
+		go g.refresh(running, time.Duration(sampleAgeFraction*float64(maxAge)))
 	}
 	g.mu.Unlock()
 	select {
@@ -365,14 +362,14 @@
 	}
 }
 
-// sample returns when the primary was asked where it stands, and asks it unless that
-// was at most maxAge ago.
+// sample returns when the primary was queried for its position, and queries it unless that was at
+// most maxAge ago.
 func (g *Group) sample(ctx context.Context, b leadership.Belief, maxAge time.Duration) (clock.Time, error) {
 	at := g.Freshness.Sampled(b.Term)
 	if at != 0 && g.cfg.Clock.Now().Sub(at) <= maxAge {
 		return at, nil
 	}
-	_, at, err := g.Recent(ctx, b.Primary, spending.Sample, maxAge, askTimeout)
+	_, at, err := g.Recent(ctx, b.Primary, spending.Sample, maxAge, statusTimeout)
 	return at, err
 }
 
@@ -383,7 +380,7 @@
 		g.mu.Unlock()
 		close(done)
 	}()
-	ctx, cancel := context.WithTimeout(context.Background(), 2*askTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*statusTimeout)
 	defer cancel()
 	b, err := g.Primary(ctx)
 	if err != nil {
@@ -394,7 +391,7 @@
 		g.cfg.Log.Debug("status-unanswered", zap.String("target", string(b.Primary)), zap.Error(err))
 		return
 	}
-	// The witness is asked after the sample: only then does it cover it.
+	// The witness is queried after the sample, since only then does it cover the sample.
 	if err := g.witnessSince(ctx, b, 0, sampled); err != nil {
 		g.cfg.Log.Debug("no-witness", zap.String("service", g.Service), zap.Error(err))
 	}
--- a/groups/witness_test.go
+++ b/groups/witness_test.go
@@ -22,7 +22,7 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// atomicClock stands still until it is moved, also beside goroutines that read it.
+// atomicClock is advanced only by the test, and may be read concurrently.
 type atomicClock struct{ now atomic.Int64 }
 
 func (c *atomicClock) Now() clock.Time { return clock.Time(c.now.Load()) }
@@ -35,18 +35,18 @@
 	return c
 }
 
-// silentTargets answer nobody.
-type silentTargets struct{}
+// unresponsiveTargets answer no query.
+type unresponsiveTargets struct{}
 
-func (silentTargets) Control(context.Context, target.ID, lane.Ask, time.Duration) ([]string, error) {
+func (unresponsiveTargets) Control(context.Context, target.ID, lane.Ask, time.Duration) ([]string, error) {
 	return nil, errors.New("no answer")
 }
 
-func (silentTargets) Recent(context.Context, target.ID, time.Duration, time.Duration) ([]string, time.Duration, error) {
+func (unresponsiveTargets) Recent(context.Context, target.ID, time.Duration, time.Duration) ([]string, time.Duration, error) {
 	return nil, 0, errors.New("no answer")
 }
 
-// record is the store's, which counts how often it is read.
+// record is the store's leadership record, which counts how often it is read.
 type record struct {
 	reign catalog.Reign
 	read  int
@@ -57,21 +57,21 @@
 	return &r.reign, nil
 }
 
-// askedTargets note who was asked, and answer nothing.
-type askedTargets struct {
-	silentTargets
+// queriedTargets record which targets were queried, and answer nothing.
+type queriedTargets struct {
+	unresponsiveTargets
 	mu  sync.Mutex
 	ids []target.ID
 }
 
-func (a *askedTargets) Recent(ctx context.Context, id target.ID, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
+func (a *queriedTargets) Recent(ctx context.Context, id target.ID, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
 	a.mu.Lock()
 	a.ids = append(a.ids, id)
 	a.mu.Unlock()
-	return a.silentTargets.Recent(ctx, id, maxAge, timeout)
+	return a.unresponsiveTargets.Recent(ctx, id, maxAge, timeout)
 }
 
-func (a *askedTargets) take() []target.ID {
+func (a *queriedTargets) take() []target.ID {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := slices.Sorted(slices.Values(a.ids))
@@ -79,22 +79,22 @@
 	return out
 }
 
-// A fleet of hundreds of VMs starts, and each of them meets each service for the first
-// time. Nobody contests who leads: one question tells the term. Only if that target does
-// not answer are all asked, for another one may lead by then.
+// A fleet of hundreds of VMs starts, and each VM uses each service for the first time. No other
+// target claims to lead, so that one query for the term suffices. All targets are queried only if
+// the listed primary does not answer, since another one may lead by then.
 func TestFirstUseAsksOnlyTheListedPrimary(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		a := &askedTargets{}
+		a := &queriedTargets{}
 		h := catalog.NewHolder()
 		reg := NewRegistry(Config{Catalog: h, Clock: monotonic.New(), Log: zap.NewNop(), Asker: a})
 		reg.Update(listing(h, 7, 10))
-		time.Sleep(time.Second) // no moment of the daemon's life is its clock's zero
-		ctx, cancel := context.WithTimeout(context.Background(), discoverEvery/2)
+		time.Sleep(time.Second) // the daemon's clock is never 0
+		ctx, cancel := context.WithTimeout(context.Background(), discoverInterval/2)
 		defer cancel()
 		_, err := reg.Group("s").Primary(ctx)
 		require.ErrorIs(t, err, ErrNoPrimary)
 		require.Equal(t, []target.ID{"p"}, a.take())
-		ctx, cancel = context.WithTimeout(context.Background(), 2*discoverEvery)
+		ctx, cancel = context.WithTimeout(context.Background(), 2*discoverInterval)
 		defer cancel()
 		_, err = reg.Group("s").Primary(ctx)
 		require.ErrorIs(t, err, ErrNoPrimary)
@@ -102,14 +102,14 @@
 	})
 }
 
-// A partition has cut a VM off from a new primary. The old one still answers it, and
-// each of its reads looks for a proof until its time is over. The store says the same
-// each time; read for each try of hundreds of VMs, it is called beyond its rates.
-func TestAReplacedPrimaryIsLookedUpOnceInAWhile(t *testing.T) {
+// A network partition has cut a VM off from a new primary. The old one still answers it, and each
+// of its reads looks for a proof until its timeout. The store's record is the same each time; if
+// hundreds of VMs read it for each try, they exceed the store's rate limits.
+func TestRecordOfReplacedPrimaryIsCached(t *testing.T) {
 	clk := newAtomicClock()
 	h := catalog.NewHolder()
 	r := &record{reign: catalog.Reign{Service: "s", Revision: 9, Primary: "new"}}
-	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Asker: silentTargets{}, Records: r, Eligible: func() bool { return false }})
+	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Asker: unresponsiveTargets{}, Records: r, Eligible: func() bool { return false }})
 	reg.Update(listing(h, 7, 10))
 	g := reg.Group("s")
 	b := leadership.Belief{Primary: "p", Term: 3}
@@ -119,47 +119,49 @@
 	}
 	require.Equal(t, 1, r.read)
 	require.ErrorIs(t, g.Prove(context.Background(), leadership.Belief{Primary: "q", Term: 4}, 0, clk.Now()), ErrSuperseded)
-	require.Equal(t, 2, r.read, "another belief is looked up")
+	require.Equal(t, 2, r.read, "another state is looked up")
 
 	r.reign = catalog.Reign{Service: "s", Revision: 12, Primary: "p"}
-	clk.pass(replacedLasts)
+	clk.pass(replacedTTL)
 	require.NoError(t, g.Prove(context.Background(), b, 0, clk.Now()), "it leads again")
 }
 
-// While an attempt is under way its end must be seen soon: the primary may stay.
-func TestAnAttemptIsLookedUpAgainSoon(t *testing.T) {
+// While an attempt is under way its end must be detected soon, since the primary may remain.
+func TestRecordOfOpenAttemptIsCachedBriefly(t *testing.T) {
 	clk := newAtomicClock()
 	h := catalog.NewHolder()
 	r := &record{reign: catalog.Reign{Service: "s", Revision: 9, Attempt: &catalog.Attempt{Deposed: "p"}}}
-	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Asker: silentTargets{}, Records: r, Eligible: func() bool { return false }})
+	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Asker: unresponsiveTargets{}, Records: r, Eligible: func() bool { return false }})
 	reg.Update(listing(h, 7, 10))
 	g := reg.Group("s")
 	b := leadership.Belief{Primary: "p", Term: 3}
 	require.ErrorIs(t, g.Prove(context.Background(), b, 0, clk.Now()), ErrSuperseded)
 	r.reign = catalog.Reign{Service: "s", Revision: 10, Primary: "p"}
-	clk.pass(replacingLasts)
+	clk.pass(replacingTTL)
 	require.NoError(t, g.Prove(context.Background(), b, 0, clk.Now()))
 }
 
-// Guards against: a primary proven by a record of before the store came back from an older copy, though another one was promoted since.
+// Failure guarded against: after the store is restored from an older copy, a record from before the
+// restore proves a primary, although another target was promoted since.
 func TestRecordOfAnEarlierEraProvesNothing(t *testing.T) {
 	clk := newAtomicClock()
 	h := catalog.NewHolder()
 	r := &record{reign: catalog.Reign{Service: "s", Revision: catalog.RevisionOf(2, 9), Era: 1, Primary: "p"}}
-	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Asker: silentTargets{}, Records: r, Eligible: func() bool { return false },
+	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Asker: unresponsiveTargets{}, Records: r, Eligible: func() bool { return false },
 		Era: func() int64 { return 2 }})
 	reg.Update(listing(h, 7, 10))
 	g := reg.Group("s")
 	b := leadership.Belief{Primary: "p", Term: 3}
 	require.ErrorIs(t, g.Prove(context.Background(), b, 0, clk.Now()), ErrNoWitness)
 	r.reign = catalog.Reign{Service: "s", Era: 1}
-	require.ErrorIs(t, g.Prove(context.Background(), b, 0, clk.Now()), ErrNoWitness, "a record that is not there")
+	require.ErrorIs(t, g.Prove(context.Background(), b, 0, clk.Now()), ErrNoWitness, "a missing record")
 	r.reign = catalog.Reign{Service: "s", Revision: catalog.RevisionOf(2, 12), Era: 2, Primary: "p"}
 	require.NoError(t, g.Prove(context.Background(), b, 0, clk.Now()))
 }
 
-// Guards against: a permission that comes back while the holder of an attempt goes on whose record the store has lost.
-func TestPermissionDoesNotComeBackWithALaterEra(t *testing.T) {
+// Failure guarded against: a VM regains its permission because the store has lost the record of an
+// attempt, while the attempt's holder continues.
+func TestLaterEraDoesNotRestorePermission(t *testing.T) {
 	clk := newAtomicClock()
 	h := catalog.NewHolder()
 	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Eligible: func() bool { return true }})
