--- a/leadership/leadership.go
+++ b/leadership/leadership.go
@@ -1,13 +1,13 @@
-// Package leadership decides which target of a service is taken for its
-// primary. A target's role is a claim: a superseded primary that is cut off
-// still makes it. Claims are compared by the term in which their target leads,
-// which it tells in its status; a claim whose term is not known yet counts only
-// while no other claim stands, or if the fleet itself promoted its target last.
+// Package leadership decides which target of a service is considered its primary. A target's role
+// is a claim: a superseded primary that is cut off still makes it. Claims are compared by the term
+// in which their target leads, which the target reports in its status. A claim whose term is not
+// known yet counts only if there is no other claim, or if the fleet's newest promotion was of its
+// target. Begin with Tracker.
 //
-// A wrong belief costs a refused request, never a wrong answer: writes need a
-// replica's receipt, and reads are proven by package freshness.
+// A wrong state costs a refused request, never a wrong answer: writes need a replica's receipt, and
+// reads are proven by package freshness.
 //
-// The package is pure.
+// The package makes no calls; its caller supplies all observations.
 package leadership
 
 import (
@@ -19,13 +19,13 @@
 )
 
 type claim struct {
-	// listed is the role in the target's own entry, as last seen.
+	// listed is the role in the target's own entry in the store, as last received.
 	listed target.Role
 	role   target.Role
 	term   timeline.Term
 }
 
-// Board keeps one service's claims. It is safe for concurrent use.
+// Tracker holds one service's claims. It is safe for concurrent use.
 type Board struct {
 	mu       sync.Mutex
 	claims   map[target.ID]*claim
@@ -33,27 +33,26 @@
 	highest  timeline.Term
 }
 
-// NewBoard returns a Board without claims.
+// NewTracker returns a Tracker without claims.
 func NewBoard() *Board { return &Board{claims: make(map[target.ID]*claim)} }
 
-// Belief is what the Board holds to be true.
+// State is the leader that the Tracker derives from the claims.
 type Belief struct {
 	// Primary is empty if no target claims to lead.
 	Primary target.ID
-	// Term is the primary's, or 0 if it has not told.
+	// Term is the primary's term, or 0 if it has not reported one.
 	Term timeline.Term
-	// Contested is set if two targets claim to lead.
+	// Contested is set if two or more targets claim to lead.
 	Contested bool
 }
 
-// Listed takes over the entries of the service's targets and the fleet's own
-// record of the last promotion. A role counts when the entry changes; until
-// then what the target said itself is newer.
-func (b *Board) Listed(targets []*catalog.Target, reign *catalog.Reign) {
+// Listed records the entries of the service's targets and its leadership record. A role in an entry
+// counts when it changes; until then the target's own status is more recent.
+func (b *Board) Listed(targets []*catalog.Target, record *catalog.Reign) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if reign != nil {
-		b.promoted = reign.Primary
+	if record != nil {
+		b.promoted = record.Primary
 	}
 	present := make(map[target.ID]bool, len(targets))
 	for _, t := range targets {
@@ -82,15 +81,15 @@
 	}
 }
 
-// Reborn forgets what a target said before it started again: it leads no more, and
-// what its entry says counts anew.
+// RecordRestart discards what a target reported before it restarted: it does not lead any more, and
+// the role in its entry counts again.
 func (b *Board) Reborn(id target.ID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.claims, id)
 }
 
-// Told takes over a target's own status.
+// RecordStatus records a target's own status.
 func (b *Board) Told(id target.ID, role target.Role, term timeline.Term) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -103,13 +102,14 @@
 	c.term = term
 }
 
-// Heard takes over what a target said some time ago, to whichever VM. It tells the
-// term of a claim that its entry makes, or of a later one than the target is known by.
+// RecordCachedStatus records a status that a target reported some time ago, to whichever VM. It
+// supplies the term of a claim that the target's entry makes, or a claim of a later term than the
+// target's known one.
 //
-// Failure guarded against: words of a moment before a target was promoted, or started
-// again with nothing, come after its entry has told of it. Taken for news they would
-// take the claim from a new primary, or give one that is gone its claim back, and
-// requests wait until somebody asks again.
+// Failure guarded against: a status from before a target was promoted, or restarted with an empty
+// log, arrives after its entry has shown the change. Treated as current it would remove the claim
+// of a new primary, or restore that of a former one, and requests would wait until the next status
+// query.
 func (b *Board) Heard(id target.ID, role target.Role, term timeline.Term) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -121,7 +121,7 @@
 	c.role, c.term = role, term
 }
 
-// Refused records that a target answered that it does not lead.
+// Refused records that a target has replied that it does not lead.
 func (b *Board) Refused(id target.ID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -130,14 +130,14 @@
 	}
 }
 
-// Highest is the latest term that any target told of.
+// Highest returns the latest term that any target has reported.
 func (b *Board) Highest() timeline.Term {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.highest
 }
 
-// Believed returns the present belief.
+// Current returns the present state.
 func (b *Board) Believed() Belief {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/leadership/leadership_test.go
+++ b/leadership/leadership_test.go
@@ -22,9 +22,9 @@
 	r = target.RoleReplica
 )
 
-// The old primary is cut off from its peers and still says that it leads, in
-// its entry and when asked. The one with the later term is believed.
-func TestLaterTermIsBelieved(t *testing.T) {
+// The old primary is cut off from its peers and still claims to lead, in its entry and in its
+// status. The claim with the later term wins.
+func TestLaterTermWins(t *testing.T) {
 	b := NewBoard()
 	b.Listed(entries(map[target.ID]target.Role{"a": p, "b": p, "c": r}), nil)
 	b.Told("a", p, 1)
@@ -32,8 +32,8 @@
 	require.Equal(t, Belief{Primary: "b", Term: 2, Contested: true}, b.Believed())
 }
 
-// A new primary's claim arrives before it was asked for its term. The fleet's
-// own record of the promotion decides until then.
+// A new primary's claim arrives before its term is known. The fleet's leadership record decides
+// until then.
 func TestRecordedPromotionDecidesWhileATermIsUnknown(t *testing.T) {
 	b := NewBoard()
 	b.Listed(entries(map[target.ID]target.Role{"a": p, "b": r}), nil)
@@ -42,38 +42,38 @@
 	require.Equal(t, target.ID("b"), b.Believed().Primary)
 }
 
-// What a target said itself is newer than its entry, until the entry changes.
+// A target's own status is more recent than its entry, until the entry changes.
 func TestEntryCountsWhenItChanges(t *testing.T) {
 	b := NewBoard()
 	list := entries(map[target.ID]target.Role{"a": p, "b": r})
 	b.Listed(list, nil)
 	b.Refused("a")
 	b.Listed(list, nil)
-	require.Empty(t, b.Believed().Primary, "the same entry again says nothing new")
+	require.Empty(t, b.Believed().Primary, "an unchanged entry is no new claim")
 	b.Listed(entries(map[target.ID]target.Role{"a": r, "b": p}), nil)
 	require.Equal(t, target.ID("b"), b.Believed().Primary)
 }
 
-func TestTargetThatIsGoneClaimsNothing(t *testing.T) {
+func TestRemovedTargetClaimsNothing(t *testing.T) {
 	b := NewBoard()
 	b.Listed(entries(map[target.ID]target.Role{"a": p}), nil)
 	b.Told("a", p, 4)
 	b.Listed(nil, nil)
 	require.Equal(t, Belief{}, b.Believed())
-	require.EqualValues(t, 4, b.Highest(), "terms are never forgotten")
+	require.EqualValues(t, 4, b.Highest(), "known terms are retained")
 }
 
-// A VM hears from peers who leads. Their words may be a second old: from before a
-// replica was promoted, whose entry says so by now, or from before a primary started
-// again with nothing.
-func TestHearsayTellsTermsAndOverridesNoEntry(t *testing.T) {
+// A VM receives cached statuses from peers. They may be a second old: from before a replica was
+// promoted, whose entry shows the promotion by now, or from before a primary restarted with an
+// empty log.
+func TestCachedStatusSuppliesTermsAndOverridesNoEntry(t *testing.T) {
 	b := NewBoard()
 	entries := func(a, z target.Role) []*catalog.Target {
 		return []*catalog.Target{{ID: "a", Role: a}, {ID: "z", Role: z}}
 	}
 	b.Listed(entries(target.RolePrimary, target.RoleReplica), nil)
 	b.Heard("z", target.RolePrimary, 3)
-	require.Equal(t, Belief{Primary: "a"}, b.Believed(), "the entries know better")
+	require.Equal(t, Belief{Primary: "a"}, b.Believed(), "the entries are more recent")
 	b.Heard("a", target.RoleReplica, 3)
 	require.Equal(t, Belief{Primary: "a"}, b.Believed())
 	b.Heard("a", target.RolePrimary, 4)
@@ -84,10 +84,10 @@
 	require.Equal(t, Belief{Primary: "z", Term: 5, Contested: true}, b.Believed(), "promoted since")
 	b.Refused("z")
 	b.Heard("z", target.RolePrimary, 5)
-	require.Equal(t, Belief{Primary: "a", Term: 4}, b.Believed(), "its own word is newer")
+	require.Equal(t, Belief{Primary: "a", Term: 4}, b.Believed(), "its own reply is more recent")
 
 	b.Reborn("a")
 	b.Listed(entries(target.RoleReplica, target.RoleReplica), nil)
 	b.Heard("a", target.RolePrimary, 4)
-	require.Empty(t, b.Believed().Primary, "it leads no more")
+	require.Empty(t, b.Believed().Primary, "it does not lead any more")
 }
