--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -1,22 +1,20 @@
-// Package freshness decides which log position a read must see, from evidence
-// of where a service's primary stood at a known moment.
+// Package freshness decides which log position a read must see, from evidence of the position of a
+// service's primary at a known time. Begin with Tracker and Proof.
 //
-// Evidence is a sample and a witness. A sample is a position that the primary
-// of a term gave in answer to a question sent at some moment: every commit that
-// it had acknowledged before that moment is at or below the position. A witness
-// is a replica that, asked at a later moment, still followed that term and had
-// not been paused for a later one. A promotion pauses every replica first, so
-// no later primary can have acknowledged anything before the witness was asked.
-// Both together prove that a log which holds the position lacks no commit
-// acknowledged before the sample's question was sent.
+// Evidence is a sample and a witness. A sample is a position that the primary of a term reported in
+// reply to a status query sent at a known time: every commit that it had acknowledged before that
+// time is at or below the position. A witness is a replica that, in reply to a later query, still
+// followed that term and had not been paused for a later one. A promotion pauses every replica
+// first, so no later primary can have acknowledged anything before the witness was queried. Both
+// together prove that a log which holds the position lacks no commit acknowledged before the
+// sample's query was sent.
 //
-// A sample alone proves nothing: a superseded primary that is cut off from its
-// peers still answers, and a newer primary may have acknowledged commits that
-// it will never see. Nor is the primary of a term ever a witness for it, also
-// not when it calls itself a replica, having stepped down: it goes on in its
-// own log until it meets its successor.
+// A sample alone proves nothing: a superseded primary that is cut off from its peers still answers,
+// and a newer primary may have acknowledged commits that it will never receive. Nor is the primary
+// of a term ever a witness for that term, even if it reports the role replica after it has stepped
+// down: it continues in its own log until it receives from its successor.
 //
-// The package is pure.
+// The package makes no calls; its caller supplies all observations.
 package freshness
 
 import (
@@ -30,12 +28,12 @@
 )
 
 const (
-	// maxSamples bounds a service's samples. With sampleEvery they span the
-	// longest age that routes are known to accept, 2.5 s, and some more.
+	// maxSamples bounds a service's samples. With sampleInterval they cover the longest age that
+	// routes are known to accept, 2.5 s, with a margin.
 	maxSamples = 64
-	// sampleEvery is the least time between two samples.
-	sampleEvery = 50 * time.Millisecond
-	// margin is taken off the accepted age: the read's own way to the target.
+	// sampleInterval is the least time between two samples.
+	sampleInterval = 50 * time.Millisecond
+	// margin is deducted from the accepted age for the time in which the read reaches its target.
 	margin = 50 * time.Millisecond
 )
 
@@ -44,7 +42,7 @@
 	position timeline.Position
 }
 
-// Board keeps one service's evidence. It is safe for concurrent use.
+// Tracker holds one service's evidence. It is safe for concurrent use.
 type Board struct {
 	mu        sync.Mutex
 	term      timeline.Term
@@ -53,8 +51,8 @@
 	witnessed clock.Time
 }
 
-// Sample records that the primary of a term stood at a position when it
-// answered a question sent at the given moment.
+// Sample records that the primary of a term reported a position in reply to a status query sent at
+// the given time.
 func (b *Board) Sample(term timeline.Term, leader target.ID, sent clock.Time, p timeline.Position) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -62,7 +60,7 @@
 		return
 	}
 	n := len(b.samples)
-	if n > 0 && sent.Sub(b.samples[n-1].sent) < sampleEvery {
+	if n > 0 && sent.Sub(b.samples[n-1].sent) < sampleInterval {
 		return
 	}
 	if n == maxSamples {
@@ -72,33 +70,33 @@
 	b.samples = append(b.samples, sample{sent: sent, position: p})
 }
 
-// Witness records that a replica, asked at the given moment, followed the term
-// and was not paused for a later one.
-func (b *Board) Witness(term timeline.Term, from target.ID, asked clock.Time) {
+// Witness records that a replica, queried at the given time, followed the term and was not paused
+// for a later one.
+func (b *Board) Witness(term timeline.Term, from target.ID, queried clock.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.enter(term, "") && b.mayWitness(from) && asked.After(b.witnessed) {
-		b.witnessed = asked
+	if b.enter(term, "") && b.mayWitness(from) && queried.After(b.witnessed) {
+		b.witnessed = queried
 	}
 }
 
-// WitnessByRecord records that the store, asked at the given moment, had no
-// record of a promotion after that of the term's leader.
-func (b *Board) WitnessByRecord(term timeline.Term, leader target.ID, asked clock.Time) {
+// WitnessByRecord records that the store, queried at the given time, had no record of a promotion
+// after that of the term's leader.
+func (b *Board) WitnessByRecord(term timeline.Term, leader target.ID, queried clock.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.enter(term, leader) && asked.After(b.witnessed) {
-		b.witnessed = asked
+	if b.enter(term, leader) && queried.After(b.witnessed) {
+		b.witnessed = queried
 	}
 }
 
-// mayWitness reports whether a target's word counts for the present term.
+// mayWitness reports whether a target's status can be a witness for the current term.
 func (b *Board) mayWitness(from target.ID) bool { return b.leader != "" && from != b.leader }
 
-// Seen records that a replica's log stood at a position of the term. It is a
-// witness for every sample below: what lies beyond the sample was committed
-// after the primary had answered, and a paused replica would not have received
-// it. Reads at replicas so renew the evidence without a question of our own.
+// Seen records that a replica's log was at a position of the term. It is a witness for every sample
+// below that position: what lies beyond the sample was committed after the primary had replied, and
+// a paused replica would not have received it. Reads at replicas thereby renew the evidence without
+// a status query.
 func (b *Board) Seen(from target.ID, p timeline.Position) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -116,8 +114,8 @@
 	}
 }
 
-// enter moves on to a later term, whose evidence starts anew. It reports
-// whether evidence of the given term counts. An empty leader is not known.
+// enter starts a later term, with no evidence yet, and reports whether evidence of the given term
+// counts. An empty leader means that it is not known.
 func (b *Board) enter(term timeline.Term, leader target.ID) bool {
 	if term > b.term {
 		b.term, b.leader, b.samples, b.witnessed = term, "", b.samples[:0], 0
@@ -128,8 +126,8 @@
 	return term == b.term
 }
 
-// Floor returns the lowest position that proves an age of at most maxAge. The
-// oldest sample that is young enough is taken: replicas most likely hold it.
+// Floor returns the lowest position that proves an age of at most maxAge. It uses the oldest sample
+// that is recent enough, since replicas are the most likely to hold it.
 func (b *Board) Floor(now clock.Time, maxAge time.Duration) (timeline.Position, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -146,8 +144,8 @@
 	return timeline.Position{}, false
 }
 
-// Sampled returns when the newest sample of a term was asked for; zero if there is
-// none.
+// Sampled returns when the query for the newest sample of a term was sent; zero if there is no
+// sample.
 func (b *Board) Sampled(term timeline.Term) clock.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -164,17 +162,17 @@
 	Leader   target.ID
 	At       clock.Time
 	Position timeline.Position
-	// Witnessed is when the latest witness of the term was asked; zero is not before At.
+	// Witnessed is when the latest witness of the term was queried; zero stands for At.
 	Witnessed clock.Time
 }
 
-// Stood returns the position that the leader of a term told last; the zero one if
-// it has told none.
+// LastPosition returns the position that the leader of a term reported last; zero if it has
+// reported none.
 //
-// Failure guarded against: the primary starts again, empty, and a read that must
-// see everything is sent there before anybody has noticed. It is answered from
-// nothing. A log holds what its own target has told in the same term, unless it is
-// another log: asked for this position, such a target refuses the read.
+// Failure guarded against: the primary restarts with an empty log, and a read that must see
+// everything is sent there before any VM has detected the restart, and is answered from the empty
+// log. A log holds every position that its own target has reported in the same term, unless it is
+// another log: required to hold this position, such a target refuses the read.
 func (b *Board) Stood(term timeline.Term, leader target.ID) timeline.Position {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -196,7 +194,7 @@
 	return Proof{}, false
 }
 
-// Relay takes over another VM's proof, with its moment on this VM's clock.
+// MergeProof merges another VM's proof, whose times are converted to this VM's clock.
 func (b *Board) Relay(p Proof) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -208,7 +206,7 @@
 	for i > 0 && b.samples[i-1].sent.After(p.At) {
 		i--
 	}
-	if i > 0 && p.At.Sub(b.samples[i-1].sent) < sampleEvery {
+	if i > 0 && p.At.Sub(b.samples[i-1].sent) < sampleInterval {
 		return
 	}
 	b.samples = slices.Insert(b.samples, i, sample{sent: p.At, position: p.Position})
@@ -217,8 +215,7 @@
 	}
 }
 
-// WitnessedSince reports whether a witness of the term was asked at or after a
-// moment.
+// WitnessedSince reports whether a witness of the term was queried at or after a time.
 func (b *Board) WitnessedSince(term timeline.Term, since clock.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/freshness/freshness_test.go
+++ b/freshness/freshness_test.go
@@ -16,8 +16,8 @@
 	return timeline.Position{Term: timeline.Term(term), LSN: timeline.LSN(n)}
 }
 
-// A primary that was replaced, and is cut off from everybody but this VM, goes
-// on answering. Its word alone must never count as evidence.
+// A primary that was replaced, and is cut off from all but this VM, still answers. Its reply alone
+// must never count as evidence.
 func TestSampleWithoutWitnessProvesNothing(t *testing.T) {
 	b := &Board{}
 	b.Sample(1, "p", at(0), pos(1, 10))
@@ -29,7 +29,7 @@
 	require.Equal(t, pos(1, 10), p)
 }
 
-// The witness was asked before the sample: a promotion may lie between them.
+// The witness was queried before the sample: a promotion may lie between them.
 func TestWitnessBeforeTheSampleDoesNotCount(t *testing.T) {
 	b := &Board{}
 	b.Sample(1, "p", at(0), pos(1, 10))
@@ -39,11 +39,11 @@
 	require.True(t, ok)
 	require.Equal(t, pos(1, 10), p)
 	_, ok = b.Floor(at(300), 150*time.Millisecond)
-	require.False(t, ok, "what was sampled in time is not proven")
+	require.False(t, ok, "the sample that is recent enough has no witness")
 }
 
-// A replica that holds more than the primary had at a moment has received it
-// since, and was not paused then: reads renew the evidence for nothing.
+// A replica that holds more than the primary had at a time has received it since, and was not
+// paused then, so that reads renew the evidence without a status query.
 func TestReplicaPositionBeyondTheSampleIsAWitness(t *testing.T) {
 	b := &Board{}
 	b.Sample(1, "p", at(0), pos(1, 10))
@@ -55,10 +55,10 @@
 	require.True(t, ok)
 }
 
-// Half of the fleet was cut off with the old primary while the other half
-// replaced it. When the cut heals, a VM believes in the new one, but the old
-// one still answers, with positions of its own log that nobody else holds. Taken
-// for a replica's, they proved its own samples, and a read missed a commit.
+// Half of the fleet was cut off with the old primary while the other half replaced it. When the
+// partition ends, a VM considers the new one the primary, but the old one still answers, with
+// positions of its own log that no other target holds. Accepted as a replica's positions, they
+// proved its own samples, and a read missed a commit.
 func TestSupersededPrimaryIsNoWitnessForItself(t *testing.T) {
 	b := &Board{}
 	b.Sample(1, "p", at(0), pos(1, 10))
@@ -69,7 +69,7 @@
 	require.False(t, b.WitnessedSince(1, at(0)))
 }
 
-func TestLaterTermStartsAnew(t *testing.T) {
+func TestLaterTermDiscardsEvidence(t *testing.T) {
 	b := &Board{}
 	b.Sample(1, "p", at(0), pos(1, 10))
 	b.Witness(1, "r", at(50))
@@ -80,8 +80,8 @@
 	require.False(t, b.WitnessedSince(1, at(0)))
 }
 
-// The oldest position that still proves the age is wanted: replicas that are
-// behind most likely hold it.
+// Floor returns the oldest position that still proves the age, since lagging replicas are the most
+// likely to hold it.
 func TestFloorIsTheOldestThatProvesTheAge(t *testing.T) {
 	b := &Board{}
 	for i := range 10 {
@@ -93,7 +93,7 @@
 	require.Equal(t, pos(1, 16), p, "the first sent after 1000 - 500 + margin")
 }
 
-func TestRelayedProofsAreKeptInOrder(t *testing.T) {
+func TestMergedProofsAreOrdered(t *testing.T) {
 	b := &Board{}
 	b.Sample(1, "p", at(500), pos(1, 20))
 	b.Relay(Proof{Term: 1, Leader: "p", At: at(300), Position: pos(1, 15)})
@@ -113,21 +113,22 @@
 	require.LessOrEqual(t, len(b.samples), maxSamples+1)
 }
 
-// The primary starts again with an empty log. What it had told in its term is what a
-// read that must see everything asks it for, so that it cannot answer from nothing.
-func TestLeaderIsAskedForWhatItHasTold(t *testing.T) {
+// The primary restarts with an empty log. A read that must see everything requires the position
+// that the primary has reported in its term, so that it is not answered from the empty log.
+func TestLastPositionOfLeader(t *testing.T) {
 	b := &Board{}
 	require.True(t, b.Stood(1, "p").IsZero())
 	b.Sample(1, "p", at(0), pos(1, 10))
 	b.Sample(1, "p", at(100), pos(1, 12))
 	require.Equal(t, pos(1, 12), b.Stood(1, "p"))
-	require.True(t, b.Stood(1, "q").IsZero(), "another target has told nothing")
+	require.True(t, b.Stood(1, "q").IsZero(), "another target has reported nothing")
 	b.Sample(2, "q", at(200), pos(1, 11))
-	require.True(t, b.Stood(1, "p").IsZero(), "what a discarded branch held is not asked for")
+	require.True(t, b.Stood(1, "p").IsZero(), "a position of a discarded branch is not required")
 	require.Equal(t, pos(1, 11), b.Stood(2, "q"))
 }
 
-// A read looks for evidence, and the primary has been asked where it stands just now.
+// A read needs a sample, and the primary was queried recently: the sample counts only for its own
+// term.
 func TestSampledIsOfTheTerm(t *testing.T) {
 	b := &Board{}
 	require.Zero(t, b.Sampled(0))
@@ -136,5 +137,5 @@
 	require.Equal(t, at(200), b.Sampled(3))
 	require.Zero(t, b.Sampled(4))
 	b.Witness(4, "r", at(300))
-	require.Zero(t, b.Sampled(4), "a later term's evidence starts anew")
+	require.Zero(t, b.Sampled(4), "a later term has no sample yet")
 }
