--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -1,11 +1,10 @@
-// Package timeline orders positions in a group's replicated log across changes
-// of primary.
+// Package timeline orders positions in a group's replicated log across changes of primary. Begin
+// with Position and History.
 //
-// A group's log is a sequence of terms. Term N is written by one primary only,
-// and starts at the position that the promoted server held. Positions beyond
-// the start of a later term were discarded by that promotion: they belong to a
-// branch that no server keeps. Positions of different terms therefore compare
-// only through the group's History.
+// A group's log is a sequence of terms. Term N is written by one primary only, and starts at the
+// position that the promoted server held. Positions beyond the start of a later term were discarded
+// by that promotion: they belong to a branch that no server retains. Positions of different terms
+// therefore compare only through the group's History.
 package timeline
 
 import "slices"
@@ -26,8 +25,8 @@
 // IsZero reports whether p is the position before any write.
 func (p Position) IsZero() bool { return p == Position{} }
 
-// Less orders positions as a promotion does when it chooses a candidate: the
-// later term wins, then the longer log.
+// Less orders positions as a promotion does when it chooses a candidate: the later term comes
+// after, then the longer log.
 func (p Position) Less(q Position) bool {
 	if p.Term != q.Term {
 		return p.Term < q.Term
@@ -43,7 +42,7 @@
 	return p
 }
 
-// Start records where a term's log begins.
+// Start is the position at which a term's log begins.
 type Start struct {
 	Term Term `json:"term"`
 	LSN  LSN  `json:"lsn"`
@@ -70,8 +69,8 @@
 	return h[len(h)-1]
 }
 
-// Kept returns the part of p that survives every later term in h: the branch
-// beyond the start of a later term was discarded. The result has p's term.
+// Retained returns the part of p that is retained by every later term in h: the branch beyond the
+// start of a later term was discarded. The result has p's term.
 func (h History) Kept(p Position) Position {
 	for _, s := range h {
 		if s.Term > p.Term && s.LSN < p.LSN {
@@ -81,24 +80,23 @@
 	return p
 }
 
-// WasDiscarded reports whether a write at p was dropped by a later promotion.
+// WasDiscarded reports whether a write at p was discarded by a later promotion.
 func (h History) WasDiscarded(p Position) bool { return h.Kept(p) != p }
 
-// Covers reports whether a server at position have holds everything of want
-// that was kept. Both are cut back to the latest branch before they are
-// compared, so a superseded primary never qualifies by the length of its log.
-// A want of a term that h does not know yet is covered only by a server of at
-// least that term: the view is stale and must not guess.
+// Covers reports whether a server at position have holds everything of want that is retained. Both
+// are cut back to the latest branch before they are compared, so a superseded primary never
+// qualifies by the length of its log. A want of a term that is not in h is covered only by a server
+// of at least that term, since an outdated history does not show which positions were discarded.
 func (h History) Covers(have, want Position) bool {
 	if want.IsZero() {
 		return true
 	}
-	if want.Term > have.Term && !h.knows(want.Term) {
+	if want.Term > have.Term && !h.hasTerm(want.Term) {
 		return false
 	}
 	return h.Kept(have).LSN >= h.Kept(want).LSN
 }
 
-func (h History) knows(term Term) bool {
+func (h History) hasTerm(term Term) bool {
 	return slices.ContainsFunc(h, func(s Start) bool { return s.Term == term })
 }
