--- a/promoter/attempt.go
+++ b/promoter/attempt.go
@@ -20,24 +20,23 @@
 const (
 	// recordTimeout bounds recording an attempt.
 	recordTimeout = time.Second
-	// revokeTimeout bounds asking all VMs for their permissions. One that does
-	// not answer costs takeover.Permission in all, so that waiting longer than
-	// a fraction of it gains nothing.
+	// revokeTimeout bounds the requests to all VMs to give up their permissions. A VM that does not
+	// answer costs takeover.Permission in all, so that waiting longer than a fraction of it gains
+	// nothing.
 	revokeTimeout = 250 * time.Millisecond
-	// fenceTimeout bounds one order to a target. It waits for a slot, as a
-	// question does.
-	fenceTimeout = 300 * time.Millisecond
-	// designateTimeout bounds the platform's call.
+	// commandTimeout bounds one command to a target. It waits for a slot, as a status query does.
+	commandTimeout = 300 * time.Millisecond
+	// designateTimeout bounds the call to the platform.
 	designateTimeout = 800 * time.Millisecond
-	// leadTimeout is how long the chosen target may take to lead: the platform
-	// needs some hundred milliseconds, 600 ms at the slower of the two users.
+	// leadTimeout is how long the chosen target may take to lead: the platform needs some hundred
+	// milliseconds, 600 ms at the slower of the two users.
 	leadTimeout = 2500 * time.Millisecond
-	// pollEvery is the interval of questions while a target catches up or is to
+	// pollInterval is the interval between status queries while a target catches up or is about to
 	// lead.
-	pollEvery = 25 * time.Millisecond
-	// catchUp is how long a planned change waits for a target that holds all.
-	// The users' replicas are 60 ms behind on average and 360 ms at most.
-	catchUp = 900 * time.Millisecond
+	pollInterval = 25 * time.Millisecond
+	// catchUpTimeout is how long a planned change waits for a target that holds the whole log. The
+	// users' replicas are 60 ms behind on average and 360 ms at most.
+	catchUpTimeout = 900 * time.Millisecond
 )
 
 // attempt is one change of primary under way.
@@ -47,48 +46,48 @@
 	reason  takeover.Reason
 	old     target.ID
 	started clock.Time
-	known   *catalog.Reign // the record that the decision went by
+	known   *catalog.Reign // the record on which the decision was based
 	held    *catalog.Reign
 	others  []*catalog.Target
 	term    timeline.Term
 	paused  []target.ID
 	ordered bool
-	// tidies is set if an attempt was abandoned under a primary that leads.
-	tidies bool
+	// cleansUp is set if an attempt was abandoned under a primary that leads.
+	cleansUp bool
 }
 
 var (
-	errUnreachable = errors.New("a target that may hold acknowledged commits does not answer")
-	errTooFew      = errors.New("too few targets are left to surely hold every acknowledged commit")
-	errLacking     = errors.New("no target holds what was acknowledged")
-	errLate        = errors.New("the attempt's time is over")
-	errSuperseded  = errors.New("another target leads")
-	errUnpaused    = errors.New("the target is not paused")
-	errNear        = errors.New("a replica is not far behind")
-	errIdle        = errors.New("the primary is not busy")
-	errRecovered   = errors.New("the primary answers again")
-	errOwnPath     = errors.New("this VM reaches no other, and targets only slowly: its own path may be at fault")
-	errRestored    = errors.New("the store has come back from an older copy: the attempt's record may be lost")
-	errReborn      = errors.New("the target has started again and forgotten what it held")
+	errUnreachable         = errors.New("a target that may hold acknowledged commits did not answer")
+	errTooFew              = errors.New("too few targets remain to certainly hold every acknowledged commit")
+	errAcknowledgedMissing = errors.New("no target holds every position known to be acknowledged")
+	errTimeLimit           = errors.New("promotion not accepted within the attempt's time limit")
+	errSuperseded          = errors.New("another target leads")
+	errUnpaused            = errors.New("the target did not confirm the pause")
+	errReplicaNotBehind    = errors.New("a replica is not far enough behind")
+	errIdle                = errors.New("the primary is not saturated")
+	errRecovered           = errors.New("the primary has recovered")
+	errOwnNetwork          = errors.New("this VM reaches no other VM, and targets answer it only slowly: its own network path may be at fault")
+	errRestored            = errors.New("the store was restored from an older copy: the attempt's record may be lost")
+	errRestarted           = errors.New("the target has restarted and lost its pause or its log")
 )
 
-// act makes one attempt and logs what came of it.
-func (p *Promoter) act(ctx context.Context, a *attempt, b leadership.Belief, signs takeover.Signs) {
+// runAttempt makes one attempt and logs its outcome.
+func (p *Promoter) runAttempt(ctx context.Context, a *attempt, b leadership.Belief, symptoms takeover.Signs) {
 	defer p.done(a.g)
 	log := p.cfg.Log.With(zap.String("service", a.g.Service), zap.String("reason", string(a.reason)), zap.String("old", string(a.old)))
-	if a.tidies && (a.tidy(ctx, log) || a.reason == takeover.ReasonAbandoned) {
+	if a.cleansUp && (a.cleanUp(ctx, log) || a.reason == takeover.ReasonAbandoned) {
 		return
 	}
 	if err := a.feasible(ctx); err != nil {
-		log.Info("takeover-unfeasible", zap.Error(err), zap.Duration("silent", signs.Silent), zap.Duration("stalled", signs.Stalled))
+		log.Info("takeover-unfeasible", zap.Error(err), zap.Duration("silent", symptoms.Silent), zap.Duration("stalled", symptoms.Stalled))
 		return
 	}
 	if err := a.record(ctx, a.old); err != nil {
 		log.Info("takeover-not-ours", zap.Error(err))
 		return
 	}
-	log.Info("takeover-begun", zap.Int64("token", a.held.Revision), zap.Duration("silent", signs.Silent),
-		zap.Int("refusals", signs.Refusals), zap.Duration("stalled", signs.Stalled), zap.Uint64("term", uint64(b.Term)))
+	log.Info("takeover-begun", zap.Int64("token", a.held.Revision), zap.Duration("silent", symptoms.Silent),
+		zap.Int("refusals", symptoms.Refusals), zap.Duration("stalled", symptoms.Stalled), zap.Uint64("term", uint64(b.Term)))
 	chosen, err := a.run(ctx)
 	if err != nil {
 		log.Warn("takeover-failed", zap.Error(err), zap.Bool("ordered", a.ordered), zap.Duration("after", a.elapsed()))
@@ -103,16 +102,16 @@
 
 // record makes this VM the only one that may order a promotion.
 //
-// Failure guarded against: an attempt on top of another's. Between the decision
-// to act and the record lie questions to the targets, in which another VM may
-// have recorded its own. So the record is conditional on the revision that the
-// decision went by, not on the latest one: then the update fails.
-func (a *attempt) record(ctx context.Context, deposed target.ID) error {
+// Failure guarded against: an attempt on top of another VM's. Between the decision to act and the
+// record, targets are queried, and another VM may have recorded its own attempt meanwhile. So the
+// update is conditional on the revision on which the decision was based, not on the latest one, and
+// fails in that case.
+func (a *attempt) record(ctx context.Context, replaced target.ID) error {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	nonce := a.p.cfg.Nonce()
-	a.p.holds(a.g.Service, nonce)
-	held, err := a.p.cfg.Records.Begin(ctx, a.known, catalog.Attempt{Holder: a.p.cfg.Node, Nonce: nonce, Deposed: deposed})
+	a.p.recordNonce(a.g.Service, nonce)
+	held, err := a.p.cfg.Records.Begin(ctx, a.known, catalog.Attempt{Holder: a.p.cfg.Node, Nonce: nonce, Deposed: replaced})
 	if err != nil {
 		return err
 	}
@@ -120,14 +119,14 @@
 	return nil
 }
 
-// holds notes the latest attempt of this process.
-func (p *Promoter) holds(service, nonce string) {
+// recordNonce records the nonce of this process's latest attempt.
+func (p *Promoter) recordNonce(service, nonce string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.of(service).nonce = nonce
+	p.stateOf(service).nonce = nonce
 }
 
-// run fences, chooses and promotes. It returns the new primary.
+// run fences the targets, chooses one and promotes it. It returns the new primary.
 func (a *attempt) run(ctx context.Context) (target.ID, error) {
 	a.term = a.g.Leadership.Highest() + 1
 	var revoked <-chan bool
@@ -139,7 +138,7 @@
 		return "", err
 	}
 	if a.reason.Planned() {
-		a.awaitLastAnswers(ctx, *end)
+		a.awaitLastReplies(ctx, *end)
 		revoked = a.revoke(ctx)
 	}
 	fenced, err := a.pause(ctx)
@@ -159,7 +158,7 @@
 		fencedAt = a.p.cfg.Clock.Now()
 	}
 	if !all {
-		a.waitOut(fencedAt)
+		a.awaitPermissionExpiry(fencedAt)
 	}
 	chosen, err := a.choose(append(fenced, joined...), end)
 	if err != nil {
@@ -168,42 +167,41 @@
 	if err := a.stillPaused(ctx, append(fenced, joined...)); err != nil {
 		return "", err
 	}
-	// All VMs have told by now what they know to be acknowledged.
+	// By now all VMs have reported the positions that they know to be acknowledged.
 	if !takeover.Holds(chosen.Received, a.g.Acknowledged.Bound()) {
-		return "", errLacking
+		return "", errAcknowledgedMissing
 	}
 	if err := a.designate(ctx, chosen.ID); err != nil {
 		return "", err
 	}
 	if err := a.awaitLead(ctx, chosen); err != nil {
-		a.p.unmoved(a.g.Service, chosen.ID)
+		a.p.recordIneffective(a.g.Service, chosen.ID)
 		return chosen.ID, err
 	}
-	a.p.unmoved(a.g.Service, "")
+	a.p.recordIneffective(a.g.Service, "")
 	return chosen.ID, nil
 }
 
-// awaitLastAnswers waits until a successor holds the log of a primary that has
-// stepped down, and its VMs have the answers to what it still had in hand.
+// awaitLastReplies waits until a successor holds the log of a primary that has stepped down, and
+// the VMs have received its replies to the statements that it was still executing.
 //
-// Failure guarded against: writes that are on their way as a planned change begins
-// are in the old primary's log, but a VM that has given up its permission meanwhile
-// tells its consumer that they are in doubt. So the permissions are ended only
-// after it. That is safe: having stepped down, the old primary makes no further
-// commit, the chosen target holds all that it made, and nobody is promoted before
-// the permissions have ended.
-func (a *attempt) awaitLastAnswers(ctx context.Context, end timeline.Position) {
+// Failure guarded against: writes that are on their way when a planned change begins are in the old
+// primary's log, but a VM that has given up its permission meanwhile reports them to its consumer
+// as in doubt. So the permissions are ended only after this wait. That is safe: having stepped
+// down, the old primary makes no further commit, the chosen target holds all that it made, and no
+// target is promoted before the permissions have ended.
+func (a *attempt) awaitLastReplies(ctx context.Context, end timeline.Position) {
 	a.awaitHolder(ctx, end)
-	time.Sleep(pollEvery)
+	time.Sleep(pollInterval)
 }
 
-// designate orders the promotion, within the attempt's time. A call whose
-// answer is lost is repeated for the same target only: it may have been done.
+// designate orders the promotion, within the attempt's time limit. A call whose reply is lost is
+// repeated for the same target only, since the platform may have executed it.
 func (a *attempt) designate(ctx context.Context, id target.ID) error {
 	for {
 		left := takeover.Limit - a.elapsed()
 		if left <= 0 {
-			return errLate
+			return errTimeLimit
 		}
 		if a.restored() {
 			return errRestored
@@ -219,49 +217,49 @@
 		if errors.Is(err, ErrNotRunning) {
 			return err
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-// restored reports whether the store has come back from an older copy since the attempt was
-// recorded. Another VM may then begin one, and no order of this one may come after.
+// restored reports whether the store was restored from an older copy since the attempt was
+// recorded. Another VM may then begin an attempt, so that this one may not send any command.
 func (a *attempt) restored() bool { return a.p.cfg.Era() != catalog.EraOf(a.held.Revision) }
 
-// ErrNotRunning is what a Designator returns if the target does not run: the
-// order was refused for good.
+// ErrNotRunning is returned by a Designator if the target is not running: the call was refused
+// permanently.
 var ErrNotRunning = errors.New("the designated target is not running")
 
-// awaitLead waits until the chosen target says that it leads.
+// awaitLead waits until the chosen target reports that it leads.
 //
-// Failure guarded against: it has started again on the way there, and leads with
-// nothing. The other targets would be let go to follow it, and take its empty log
-// for theirs. So the attempt fails with them paused, and the next one finds what
-// was acknowledged there.
+// Failure guarded against: the target restarts before it leads, and then leads with an empty log.
+// The other targets would be resumed, follow it and replace their logs by its empty one. So the
+// attempt fails with them still paused, and the next attempt finds the acknowledged commits in
+// their logs.
 func (a *attempt) awaitLead(ctx context.Context, chosen takeover.Fenced) error {
 	deadline := a.p.cfg.Clock.Now().Add(leadTimeout)
 	for a.p.cfg.Clock.Now().Before(deadline) {
-		s, err := a.g.Status(ctx, chosen.ID, spending.Change, askTimeout)
+		s, err := a.g.Status(ctx, chosen.ID, spending.Change, statusTimeout)
 		if err == nil && s.Role == target.RolePrimary {
 			if !takeover.Holds(s.Received, chosen.Received) {
-				return errors.WithMessage(errReborn, string(chosen.ID))
+				return errors.WithMessage(errRestarted, string(chosen.ID))
 			}
 			return nil
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
-	return errors.New("the chosen target does not lead yet")
+	return errors.New("the chosen target did not report that it leads within the time limit")
 }
 
-// finish records the new primary, and lets the others receive from it.
+// finish resumes the other targets and records the new primary.
 func (a *attempt) finish(ctx context.Context, chosen target.ID) {
 	a.resume(ctx, chosen)
 	a.end(ctx, chosen)
-	a.p.chase(a.g.Service, a.old, a.term)
+	a.p.startFollowUp(a.g.Service, a.old, a.term)
 }
 
-// giveUp undoes what a failed attempt left behind. Once a promotion was
-// ordered it may still come, and nothing is resumed: a target that receives
-// from the old primary again would let it acknowledge what the new one lacks.
+// giveUp undoes the effects of a failed attempt. If a promotion was ordered it may still be
+// executed, and nothing is resumed: a target that receives from the old primary again would let it
+// acknowledge commits that the new one lacks.
 func (a *attempt) giveUp(ctx context.Context) {
 	if a.ordered {
 		return
--- a/promoter/choose.go
+++ b/promoter/choose.go
@@ -10,11 +10,11 @@
 
 // choose returns the target to promote.
 //
-// Failure guarded against: the primary has stepped down and nobody leads, as the VM
-// that was about to replace it has died. For the platform it is the present primary
-// still, and to designate that one changes nothing: the service has no primary, for
-// good. It shows as attempts whose target does not lead, one after the other. So it is
-// passed over as long as the others surely hold what was acknowledged.
+// Failure guarded against: the primary has stepped down and no target leads, since the VM that was
+// about to replace it has died. The platform still considers it the present primary, and
+// designating it changes nothing: the service has no primary permanently, and attempt after attempt
+// fails because its target does not lead. So that target is avoided as long as the others certainly
+// hold every acknowledged commit.
 func (a *attempt) choose(fenced []takeover.Fenced, end *timeline.Position) (takeover.Fenced, error) {
 	if end != nil {
 		return takeover.Choose(fenced, end)
@@ -30,11 +30,11 @@
 	return takeover.Choose(fenced, nil)
 }
 
-// avoided is the target that the platform may take for the present primary: one that
-// was designated in vain, or else the last one that led. The latter may hold alone
+// avoided returns the target that the platform may consider the present primary: one that was
+// designated without effect, or else the last one that led. The latter may be the only holder of
 // what a service without synchronous replicas has acknowledged.
 func (a *attempt) avoided() target.ID {
-	if id := a.p.lastUnmoved(a.g.Service); id != "" {
+	if id := a.p.lastIneffective(a.g.Service); id != "" {
 		return id
 	}
 	s := a.p.cfg.Catalog.Load().Service(a.g.Service)
@@ -47,15 +47,16 @@
 	return a.g.Health.Watched()
 }
 
-// unmoved notes the target that was designated last and does not lead; none is empty.
-func (p *Promoter) unmoved(service string, id target.ID) {
+// recordIneffective records the target that was designated last and does not lead; empty if there
+// is none.
+func (p *Promoter) recordIneffective(service string, id target.ID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.of(service).unmoved = id
+	p.stateOf(service).ineffective = id
 }
 
-func (p *Promoter) lastUnmoved(service string) target.ID {
+func (p *Promoter) lastIneffective(service string) target.ID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.of(service).unmoved
+	return p.stateOf(service).ineffective
 }
--- a/promoter/doc.go
+++ b/promoter/doc.go
@@ -1,4 +1,5 @@
-// Package promoter carries out what package takeover decides: it watches the
-// primaries of all services, asks one that seems dead, and changes the primary
-// when it has to. One Promoter runs on every VM.
+// Package promoter carries out what package takeover decides: it watches the primaries of all
+// services, queries a primary that seems unresponsive, and replaces one where package takeover
+// gives a reason to. One Promoter runs on every VM. It does not decide which target leads after
+// that; package leadership does.
 package promoter
--- a/promoter/feasible.go
+++ b/promoter/feasible.go
@@ -12,13 +12,13 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// feasible asks every other target, so that no attempt is recorded, and
-// nothing paused, that cannot succeed. It also learns the latest term.
+// feasible queries every other target, so that no attempt that cannot succeed is recorded and
+// nothing is paused for it. The queries also provide the latest term.
 func (a *attempt) feasible(ctx context.Context) error {
-	if len(a.others) < a.enough() {
+	if len(a.others) < a.requiredOthers() {
 		return errTooFew
 	}
-	statuses, err := a.askOthers(ctx)
+	statuses, err := a.queryOthers(ctx)
 	if err != nil {
 		return err
 	}
@@ -30,14 +30,14 @@
 		holds = holds || takeover.Holds(s.status.Received, a.g.Acknowledged.Bound())
 	}
 	if !a.reason.Planned() && !holds {
-		return errLacking
+		return errAcknowledgedMissing
 	}
 	if a.g.Leadership.Believed().Primary != a.old {
 		return errSuperseded
 	}
 	switch a.reason {
 	case takeover.ReasonLeaving:
-		return a.keepsUp(ctx)
+		return a.successorKeepsUp(ctx)
 	case takeover.ReasonStalled:
 		return a.confirmStall(ctx)
 	case takeover.ReasonBehind:
@@ -47,85 +47,85 @@
 	}
 }
 
-// promptAnswers is how soon all other targets must answer a VM that reaches no other VM:
-// the last VM of a fleet is answered promptly, one whose own link is full is not.
-const promptAnswers = 150 * time.Millisecond
+// promptReplyLimit is how soon all other targets must answer a VM that reaches no other VM. The
+// last VM of a fleet gets prompt replies; a VM whose own link is saturated does not.
+const promptReplyLimit = 150 * time.Millisecond
 
-// askOthers asks all other targets for their status. A VM that reaches no other VM trusts
-// what it has seen of the primary only while its own path is good.
-func (a *attempt) askOthers(ctx context.Context) ([]told, error) {
-	asked, reached := a.p.cfg.Clock.Now(), a.p.reachesOthers()
-	statuses := a.all(ctx, a.others, lane.AskStatus)
-	took := a.p.cfg.Clock.Now().Sub(asked)
+// queryOthers queries the status of all other targets. A VM that reaches no other VM relies on its
+// observations of the primary only while its own network path is good.
+func (a *attempt) queryOthers(ctx context.Context) ([]reply, error) {
+	queried, reached := a.p.cfg.Clock.Now(), a.p.reachesOthers()
+	statuses := a.sendAll(ctx, a.others, lane.AskStatus)
+	took := a.p.cfg.Clock.Now().Sub(queried)
 	if reached && a.p.reachesOthers() {
 		return statuses, nil
 	}
-	if took > promptAnswers {
-		return nil, errOwnPath
+	if took > promptReplyLimit {
+		return nil, errOwnNetwork
 	}
-	if a.reason.Unanswered() && a.answersNow(ctx) {
+	if a.reason.Unanswered() && a.primaryAnswers(ctx) {
 		return nil, errRecovered
 	}
 	return statuses, nil
 }
 
-// answersNow reports whether the old primary answers a question.
-func (a *attempt) answersNow(ctx context.Context) bool {
-	_, err := a.g.Status(ctx, a.old, spending.Change, askTimeout)
+// primaryAnswers reports whether the old primary answers a status query.
+func (a *attempt) primaryAnswers(ctx context.Context) bool {
+	_, err := a.g.Status(ctx, a.old, spending.Change, statusTimeout)
 	return err == nil
 }
 
-// enough is how many other targets are needed. A planned change knows where
-// the old primary's log ends, so that one which holds that will do.
-func (a *attempt) enough() int {
+// requiredOthers returns how many other targets are needed. In a planned change the end of the old
+// primary's log is known, so that one target that holds it suffices.
+func (a *attempt) requiredOthers() int {
 	if a.reason.Planned() {
 		return 1
 	}
 	return takeover.Enough
 }
 
-// keepsUp reports whether a target that stays receives what the leaving primary
-// commits. Otherwise it would be made to step down for a successor that cannot
-// take over, and the service would have no primary at all.
-func (a *attempt) keepsUp(ctx context.Context) error {
-	start, err := a.g.Status(ctx, a.old, spending.Change, askTimeout)
+// successorKeepsUp checks that a target that is not draining receives what the old primary commits.
+// Otherwise the primary would step down for a successor that cannot take over, and the service
+// would have no primary at all.
+func (a *attempt) successorKeepsUp(ctx context.Context) error {
+	start, err := a.g.Status(ctx, a.old, spending.Change, statusTimeout)
 	if err != nil {
 		return err
 	}
 	if !a.awaitHolder(ctx, start.Received) {
-		return errLacking
+		return errAcknowledgedMissing
 	}
 	return nil
 }
 
-// confirmBehind tells replicas that are far behind, under a primary that has more
-// to do than it can, from reads that were late for another reason. One replica that
-// is near serves the reads soon, and need not be promoted for it.
-func (a *attempt) confirmBehind(ctx context.Context, others []told) error {
+// confirmBehind distinguishes replicas that are far behind a saturated primary from reads that were
+// late for another reason. If one replica is not far behind it will serve the reads soon, without a
+// promotion.
+func (a *attempt) confirmBehind(ctx context.Context, others []reply) error {
 	for _, s := range others {
 		if s.status.Lag < takeover.FarBehind {
-			return errNear
+			return errReplicaNotBehind
 		}
 	}
 	primary := a.p.cfg.Catalog.Load().Targets[a.old]
-	s, err := a.g.Status(ctx, a.old, spending.Change, askTimeout)
+	s, err := a.g.Status(ctx, a.old, spending.Change, statusTimeout)
 	if err != nil {
 		return err
 	}
-	if primary == nil || s.Busy < busyTimes*primary.Slots {
+	if primary == nil || s.Busy < busyPerSlot*primary.Slots {
 		return errIdle
 	}
-	return a.keepsUp(ctx)
+	return a.successorKeepsUp(ctx)
 }
 
-// busyTimes its slots is how much a primary must have to do to be taken for the one
-// that cannot serve all. More need not wait there: VMs send no more than a few for
-// each slot, and keep the others themselves.
-const busyTimes = 1
+// busyPerSlot times its slots is the number of statements from which a primary counts as unable to
+// serve all reads. No larger number need wait there: VMs send only a few for each slot, and queue
+// the others themselves.
+const busyPerSlot = 1
 
-// holds reports whether a target that stays has received a position.
-func (a *attempt) holds(ctx context.Context, end timeline.Position) bool {
-	for _, s := range a.all(ctx, a.others, lane.AskStatus) {
+// stayingTargetHolds reports whether a target that is not draining has received a position.
+func (a *attempt) stayingTargetHolds(ctx context.Context, end timeline.Position) bool {
+	for _, s := range a.sendAll(ctx, a.others, lane.AskStatus) {
 		t := a.p.cfg.Catalog.Load().Targets[s.id]
 		if s.err == nil && t != nil && !t.Draining && takeover.Holds(s.status.Received, end) {
 			return true
@@ -134,19 +134,19 @@
 	return false
 }
 
-// confirmStall tells a primary that cannot replicate from one that is merely
-// slow: its log is ahead of every replica's, and none comes nearer.
+// confirmStall distinguishes a primary that cannot replicate from one that is merely slow: its log
+// is ahead of every replica's, and no replica catches up.
 func (a *attempt) confirmStall(ctx context.Context) error {
-	before, err := a.newest(ctx)
+	before, err := a.newestReceived(ctx)
 	if err != nil {
 		return err
 	}
-	end, err := a.g.Status(ctx, a.old, spending.Change, askTimeout)
+	end, err := a.g.Status(ctx, a.old, spending.Change, statusTimeout)
 	if err != nil {
 		return nil
 	}
-	time.Sleep(4 * pollEvery)
-	after, err := a.newest(ctx)
+	time.Sleep(4 * pollInterval)
+	after, err := a.newestReceived(ctx)
 	if err != nil {
 		return err
 	}
@@ -156,10 +156,10 @@
 	return nil
 }
 
-// newest is the highest position that any replica has received.
-func (a *attempt) newest(ctx context.Context) (timeline.Position, error) {
+// newestReceived returns the highest position that any replica has received.
+func (a *attempt) newestReceived(ctx context.Context) (timeline.Position, error) {
 	var out timeline.Position
-	for _, s := range a.all(ctx, a.others, lane.AskStatus) {
+	for _, s := range a.sendAll(ctx, a.others, lane.AskStatus) {
 		if s.err != nil {
 			return out, errUnreachable
 		}
--- a/promoter/fence.go
+++ b/promoter/fence.go
@@ -16,8 +16,8 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// revoke asks all VMs to give up their permissions, while the targets are
-// fenced. The result is whether all have.
+// revoke asks all VMs to give up their permissions, in parallel with the fencing of the targets.
+// The result is whether all VMs have done so.
 func (a *attempt) revoke(ctx context.Context) <-chan bool {
 	out := make(chan bool, 1)
 	go func() {
@@ -28,57 +28,56 @@
 	return out
 }
 
-// waitOut waits until every permission has lapsed that a VM may still hold: no
-// witness was asked in vain after the last target was paused.
-func (a *attempt) waitOut(fenced clock.Time) {
+// awaitPermissionExpiry waits until every permission has expired that a VM may still have: no
+// witness confirms the old primary once the last target is paused.
+func (a *attempt) awaitPermissionExpiry(fenced clock.Time) {
 	left := takeover.Permission - a.p.cfg.Clock.Now().Sub(fenced)
 	a.p.cfg.Log.Info("permissions-waited-out", zap.String("service", a.g.Service), zap.Duration("for", left))
 	time.Sleep(left)
 }
 
-// stepDown asks the old primary to lead no longer, and returns where its log
-// ends. A planned change begins with it, so that writes are refused as not run
-// instead of being left in doubt. One that is dead need not answer.
+// stepDown commands the old primary to step down, and returns where its log ends. A planned change
+// begins with it, so that writes are refused as not run instead of being left in doubt. An
+// unresponsive primary need not answer.
 func (a *attempt) stepDown(ctx context.Context) (*timeline.Position, error) {
 	if a.old == "" {
 		return nil, nil
 	}
 	if !a.reason.Planned() {
-		// Its replicas are paused next; what it still holds back is not
-		// acknowledged. Its answer is not waited for.
-		go func() { _, _ = a.g.Order(ctx, a.old, lane.AskStepDown(a.term), fenceTimeout) }()
+		// Its replicas are paused next, and commits that it has not acknowledged so far will not be
+		// acknowledged, so its reply is not awaited.
+		go func() { _, _ = a.g.Order(ctx, a.old, lane.AskStepDown(a.term), commandTimeout) }()
 		return nil, nil
 	}
-	s, err := a.g.Order(ctx, a.old, lane.AskStepDown(a.term), fenceTimeout)
+	s, err := a.g.Order(ctx, a.old, lane.AskStepDown(a.term), commandTimeout)
 	if err != nil {
-		return nil, errors.WithMessage(err, "step down")
+		return nil, errors.WithMessage(err, "step down command to the old primary")
 	}
 	return &s.Received, nil
 }
 
-// awaitHolder waits up to catchUp until a target that stays has received the
-// old primary's log as far as end, and reports whether one has.
+// awaitHolder waits up to catchUpTimeout until a target that is not draining has received the old
+// primary's log up to end, and reports whether one has.
 func (a *attempt) awaitHolder(ctx context.Context, end timeline.Position) bool {
-	deadline := a.p.cfg.Clock.Now().Add(catchUp)
+	deadline := a.p.cfg.Clock.Now().Add(catchUpTimeout)
 	for a.p.cfg.Clock.Now().Before(deadline) {
-		if a.holds(ctx, end) {
+		if a.stayingTargetHolds(ctx, end) {
 			return true
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return false
 }
 
-// pause stops every other target from receiving. All of them must answer: one
-// that does not may be the only holder of an acknowledged commit, or the one
-// that still vouches for the old primary.
+// pause stops every other target from receiving. All of them must confirm: one that does not may be
+// the only holder of an acknowledged commit, or may still be a witness for the old primary.
 func (a *attempt) pause(ctx context.Context) ([]takeover.Fenced, error) {
 	return a.pauseAll(ctx, idsOf(a.others))
 }
 
-// pauseJoined pauses the targets that have joined since the attempt began. It
-// is due once all VMs have given up their permissions: what the old primary
-// confirms from then on by the help of a newer one is acknowledged to nobody.
+// pauseJoined pauses the targets that have joined since the attempt began. It follows the end of
+// all VMs' permissions: commits that the old primary confirms after that with the help of a target
+// that joins still later are acknowledged to no consumer.
 func (a *attempt) pauseJoined(ctx context.Context) ([]takeover.Fenced, error) {
 	now, err := a.p.cfg.Fleet.ListTargets(ctx, a.g.Service)
 	if err != nil {
@@ -95,7 +94,7 @@
 }
 
 func (a *attempt) pauseAll(ctx context.Context, ids []target.ID) ([]takeover.Fenced, error) {
-	answers := each(ids, func(id target.ID) told { return a.pauseOne(ctx, id) })
+	answers := forEach(ids, func(id target.ID) reply { return a.pauseOne(ctx, id) })
 	var out []takeover.Fenced
 	var failed error
 	for _, s := range answers {
@@ -110,50 +109,48 @@
 	return out, failed
 }
 
-// stillPaused asks every paused target again, all at one time after the last was
-// paused, whether it is in the life in which it was paused.
+// stillPaused queries every paused target again, concurrently and after the last one was paused, to
+// check that it is in the incarnation in which it was paused.
 //
-// Failure guarded against: a replica starts again under its id after it was paused.
-// It has forgotten the pause and its log, receives from the old primary and confirms
-// its commits, of which the other replica, the one that is promoted, has none. It
-// shows as purchases that were confirmed and are not there. A target in another life
-// is not paused, or holds less than it had said.
+// Failure guarded against: a replica restarts under its id after it was paused. It has lost the
+// pause and its log, receives from the old primary and confirms commits that the other replica,
+// which is then promoted, lacks. Confirmed purchases are then missing. A target in another
+// incarnation is not paused, or holds less than it had reported.
 func (a *attempt) stillPaused(ctx context.Context, fenced []takeover.Fenced) error {
 	ids := make([]target.ID, len(fenced))
 	had := make(map[target.ID]timeline.Position, len(fenced))
 	for i, f := range fenced {
 		ids[i], had[f.ID] = f.ID, f.Received
 	}
-	for _, s := range a.allOf(ctx, ids, lane.AskStatus) {
+	for _, s := range a.sendAllTo(ctx, ids, lane.AskStatus) {
 		switch {
 		case s.err != nil:
-			return errors.WithMessage(s.err, "ask "+string(s.id)+" again")
+			return errors.WithMessage(s.err, "status query to "+string(s.id)+" before the promotion")
 		case s.status.Paused < a.term || !takeover.Holds(s.status.Received, had[s.id]):
-			return errors.WithMessage(errReborn, string(s.id))
+			return errors.WithMessage(errRestarted, string(s.id))
 		}
 	}
 	return nil
 }
 
-// pauseOne pauses a target, and takes only its own word that it is paused.
+// pauseOne pauses a target, which must itself confirm that it is paused.
 //
-// Failure guarded against: one of the others still believes that it leads, from
-// a reign before. An order to pause means nothing to it; later it follows the
-// primary that is being replaced, and acknowledges commits which the chosen
-// target lacks. So it is made to step down first, and one that leads in a later
-// term ends the attempt.
-func (a *attempt) pauseOne(ctx context.Context, id target.ID) told {
-	s, err := a.orderPatiently(ctx, id, lane.AskPause(a.term))
+// Failure guarded against: one of the other targets still considers itself the primary of an
+// earlier term. It ignores a command to pause. Later it follows the primary that is being replaced,
+// and acknowledges commits that the chosen target lacks. So it is commanded to step down first, and
+// a target that leads in a later term ends the attempt.
+func (a *attempt) pauseOne(ctx context.Context, id target.ID) reply {
+	s, err := a.sendWithRetry(ctx, id, lane.AskPause(a.term))
 	if err == nil && s.Role == target.RolePrimary {
 		if s.Term >= a.term-1 {
-			return told{id: id, err: errSuperseded}
+			return reply{id: id, err: errSuperseded}
 		}
-		if _, err = a.orderPatiently(ctx, id, lane.AskStepDown(a.term)); err == nil {
-			s, err = a.orderPatiently(ctx, id, lane.AskPause(a.term))
+		if _, err = a.sendWithRetry(ctx, id, lane.AskStepDown(a.term)); err == nil {
+			s, err = a.sendWithRetry(ctx, id, lane.AskPause(a.term))
 		}
 	}
 	if err == nil && (s.Role != target.RoleReplica || s.Paused < a.term) {
 		err = errUnpaused
 	}
-	return told{id: id, status: s, err: err}
+	return reply{id: id, status: s, err: err}
 }
--- a/promoter/guards_test.go
+++ b/promoter/guards_test.go
@@ -19,22 +19,22 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-type still struct{}
+type fixedClock struct{}
 
-func (still) Now() clock.Time { return 1 }
+func (fixedClock) Now() clock.Time { return 1 }
 
-// server is a target that answers the fleet's orders. One that is stubborn takes
-// a pause for no concern of its own while it leads.
+// server is a target that answers the fleet's commands. While it leads it ignores a command to
+// pause, and also one to step down if ignoresStepDown is set.
 type server struct {
-	status   statement.Status
-	stubborn bool
-	dead     bool
-	orders   []lane.Ask
+	status          statement.Status
+	ignoresStepDown bool
+	dead            bool
+	commands        []lane.Ask
 }
 
-func (s *server) answer(ask lane.Ask, term timeline.Term) {
-	s.orders = append(s.orders, ask)
-	switch ask {
+func (s *server) answer(cmd lane.Ask, term timeline.Term) {
+	s.commands = append(s.commands, cmd)
+	switch cmd {
 	case lane.AskPause(term):
 		if s.status.Role == target.RoleReplica {
 			s.status.Paused = term
@@ -42,28 +42,28 @@
 	case lane.AskResume:
 		s.status.Paused = 0
 	case lane.AskStepDown(term):
-		if s.status.Term < term && !s.stubborn {
+		if s.status.Term < term && !s.ignoresStepDown {
 			s.status.Role = target.RoleReplica
 		}
 	}
 }
 
-// asker reaches servers by their names. Rows are the names again, which the
-// decoder turns into the status.
-type asker struct {
+// controlClient reaches servers by their names. The rows of a reply contain the name, which the
+// decoder maps to the status.
+type controlClient struct {
 	servers map[target.ID]*server
 	term    timeline.Term
 }
 
-func (a *asker) Control(_ context.Context, id target.ID, ask lane.Ask, _ time.Duration) ([]string, error) {
+func (a *controlClient) Control(_ context.Context, id target.ID, cmd lane.Ask, _ time.Duration) ([]string, error) {
 	if a.servers[id].dead {
 		return nil, errors.New("no answer")
 	}
-	a.servers[id].answer(ask, a.term)
+	a.servers[id].answer(cmd, a.term)
 	return []string{string(id)}, nil
 }
 
-func (a *asker) Recent(ctx context.Context, id target.ID, _, timeout time.Duration) ([]string, time.Duration, error) {
+func (a *controlClient) Recent(ctx context.Context, id target.ID, _, timeout time.Duration) ([]string, time.Duration, error) {
 	rows, err := a.Control(ctx, id, lane.AskStatus, timeout)
 	return rows, 0, err
 }
@@ -71,65 +71,64 @@
 const term = 5
 
 func attemptOn(servers map[target.ID]*server) *attempt {
-	a := &asker{servers: servers, term: term}
+	a := &controlClient{servers: servers, term: term}
 	r := groups.NewRegistry(groups.Config{
-		Catalog: catalog.NewHolder(), Asker: a, Clock: still{}, Log: zap.NewNop(),
+		Catalog: catalog.NewHolder(), Asker: a, Clock: fixedClock{}, Log: zap.NewNop(),
 		Decode: func(row string) (statement.Status, error) { return servers[target.ID(row)].status, nil },
 	})
-	p := New(Config{Node: "vm1", Clock: still{}, Log: zap.NewNop(), Catalog: catalog.NewHolder(), Groups: r})
+	p := New(Config{Node: "vm1", Clock: fixedClock{}, Log: zap.NewNop(), Catalog: catalog.NewHolder(), Groups: r})
 	return &attempt{p: p, g: r.Group("s"), term: term}
 }
 
-// A server that led before the last change, and has not met its successor,
-// answers an order to pause and goes on as it was. Taken for paused, it would
-// follow the primary that is being replaced, and confirm what the chosen one
-// lacks.
-func TestTargetThatStillLeadsIsNotTakenForPaused(t *testing.T) {
+// A server that led before the last change, and has not connected to its successor, replies to a
+// command to pause without pausing. Accepted as paused, it would follow the primary that is being
+// replaced, and confirm commits that the chosen target lacks.
+func TestTargetThatStillLeadsIsNotPaused(t *testing.T) {
 	old := &server{status: statement.Status{Role: target.RolePrimary, Term: term - 2}}
-	told := attemptOn(map[target.ID]*server{"t": old}).pauseOne(context.Background(), "t")
-	require.NoError(t, told.err)
-	require.Equal(t, []lane.Ask{lane.AskPause(term), lane.AskStepDown(term), lane.AskPause(term)}, old.orders)
-	require.Equal(t, timeline.Term(term), told.status.Paused)
+	reply := attemptOn(map[target.ID]*server{"t": old}).pauseOne(context.Background(), "t")
+	require.NoError(t, reply.err)
+	require.Equal(t, []lane.Ask{lane.AskPause(term), lane.AskStepDown(term), lane.AskPause(term)}, old.commands)
+	require.Equal(t, timeline.Term(term), reply.status.Paused)
 
-	stubborn := &server{status: statement.Status{Role: target.RolePrimary, Term: term - 2}, stubborn: true}
-	told = attemptOn(map[target.ID]*server{"t": stubborn}).pauseOne(context.Background(), "t")
-	require.ErrorIs(t, told.err, errUnpaused)
+	ignoresStepDown := &server{status: statement.Status{Role: target.RolePrimary, Term: term - 2}, ignoresStepDown: true}
+	reply = attemptOn(map[target.ID]*server{"t": ignoresStepDown}).pauseOne(context.Background(), "t")
+	require.ErrorIs(t, reply.err, errUnpaused)
 
 	later := &server{status: statement.Status{Role: target.RolePrimary, Term: term - 1}}
-	told = attemptOn(map[target.ID]*server{"t": later}).pauseOne(context.Background(), "t")
-	require.ErrorIs(t, told.err, errSuperseded, "another one leads by now")
+	reply = attemptOn(map[target.ID]*server{"t": later}).pauseOne(context.Background(), "t")
+	require.ErrorIs(t, reply.err, errSuperseded, "another target leads by now")
 }
 
-// Two halves of a fleet each reach another target. The first promotes one; were
-// the second to act at once, it would replace that one again, and the platform
-// sees two holders of the duty in turn within moments.
-func TestNobodyActsRightAfterAnother(t *testing.T) {
-	p := New(Config{Node: "vm1", Clock: still{}, Log: zap.NewNop()})
-	w := &watched{}
+// Each half of a fleet reaches a different target. The first half promotes one. If the second half
+// acted at once, it would replace that target again, and the platform would receive calls of two
+// holders of the duty within a short time.
+func TestSettlePeriodAfterAnotherVMsAttempt(t *testing.T) {
+	p := New(Config{Node: "vm1", Clock: fixedClock{}, Log: zap.NewNop()})
+	w := &serviceState{}
 	ended := &catalog.Reign{Service: "s", Revision: 9, Holder: "vm2"}
 	start := clock.Time(time.Second)
-	require.True(t, p.othersAct(ended, w, start))
-	require.True(t, p.othersAct(ended, w, start.Add(takeover.Settle-1)))
-	require.False(t, p.othersAct(ended, w, start.Add(takeover.Settle)))
-	require.False(t, p.othersAct(&catalog.Reign{Service: "s", Revision: 10, Holder: "vm1"}, w, start.Add(takeover.Settle)), "its own attempts follow each other")
+	require.True(t, p.otherAttempt(ended, w, start))
+	require.True(t, p.otherAttempt(ended, w, start.Add(takeover.Settle-1)))
+	require.False(t, p.otherAttempt(ended, w, start.Add(takeover.Settle)))
+	require.False(t, p.otherAttempt(&catalog.Reign{Service: "s", Revision: 10, Holder: "vm1"}, w, start.Add(takeover.Settle)), "its own attempts need no settle period")
 }
 
-// The holder of an attempt dies. Others must not act while it may still send
-// orders, and must not wait for ever.
-func TestAttemptOfADeadHolderLapses(t *testing.T) {
-	p := New(Config{Node: "vm1", Clock: still{}, Log: zap.NewNop()})
-	w := &watched{}
+// The holder of an attempt dies. Others must not act while it may still send commands, and must not
+// wait without end.
+func TestAttemptOfDeadHolderExpires(t *testing.T) {
+	p := New(Config{Node: "vm1", Clock: fixedClock{}, Log: zap.NewNop()})
+	w := &serviceState{}
 	open := &catalog.Reign{Service: "s", Revision: 9, Holder: "vm2", Attempt: &catalog.Attempt{Holder: "vm2", Nonce: "n"}}
 	start := clock.Time(time.Second)
-	require.True(t, p.othersAct(open, w, start))
-	require.True(t, p.othersAct(open, w, start.Add(takeover.Limit)))
-	require.True(t, p.othersAct(open, w, start.Add(takeover.Lapse-1)))
-	require.False(t, p.othersAct(open, w, start.Add(takeover.Lapse)))
+	require.True(t, p.otherAttempt(open, w, start))
+	require.True(t, p.otherAttempt(open, w, start.Add(takeover.Limit)))
+	require.True(t, p.otherAttempt(open, w, start.Add(takeover.Lapse-1)))
+	require.False(t, p.otherAttempt(open, w, start.Add(takeover.Lapse)))
 	renewed := &catalog.Reign{Service: "s", Revision: 10, Holder: "vm3", Attempt: &catalog.Attempt{Holder: "vm3", Nonce: "m"}}
-	require.True(t, p.othersAct(renewed, w, start.Add(takeover.Lapse)), "a further attempt is watched anew")
+	require.True(t, p.otherAttempt(renewed, w, start.Add(takeover.Lapse)), "the expiry of another attempt counts from its own record")
 }
 
-// records is the store's record of one service.
+// records is the store's leadership record of one service.
 type records struct{ now catalog.Reign }
 
 func (r *records) Begin(_ context.Context, known *catalog.Reign, a catalog.Attempt) (*catalog.Reign, error) {
@@ -151,11 +150,11 @@
 	return nil
 }
 
-// A VM has replaced "a", which is dead, by "b", and died before it let "c"
-// receive again. Nothing that is bought at "b" can be confirmed, until another VM
-// lets "c" go in its place; but not while "c" might lead, or was promoted instead.
-func TestWhatADeadHolderHasPausedIsLetGo(t *testing.T) {
-	leftBy := func(c *server) (*attempt, *records) {
+// A VM has replaced "a", which is dead, by "b", and died before it resumed "c". No write at "b" can
+// be confirmed until another VM resumes "c", which it must not do while "c" might lead or was
+// promoted instead.
+func TestPausesOfDeadHolderAreResumed(t *testing.T) {
+	abandonedWith := func(c *server) (*attempt, *records) {
 		a := attemptOn(map[target.ID]*server{
 			"a": {dead: true}, "c": c,
 			"b": {status: statement.Status{Role: target.RolePrimary, Term: term}},
@@ -168,8 +167,8 @@
 		return a, r
 	}
 	paused := &server{status: statement.Status{Role: target.RoleReplica, Term: term - 1, Paused: term}}
-	a, r := leftBy(paused)
-	require.True(t, a.tidy(context.Background(), zap.NewNop()))
+	a, r := abandonedWith(paused)
+	require.True(t, a.cleanUp(context.Background(), zap.NewNop()))
 	require.Zero(t, paused.status.Paused)
 	require.Nil(t, r.now.Attempt)
 	require.Equal(t, target.ID("b"), r.now.Primary)
@@ -179,40 +178,40 @@
 		"it leads":           {status: statement.Status{Role: target.RolePrimary, Term: term}},
 		"it was promoted":    {status: statement.Status{Role: target.RoleReplica, Term: term + 1}},
 	} {
-		a, r := leftBy(c)
-		require.False(t, a.tidy(context.Background(), zap.NewNop()), name)
-		require.Equal(t, "n", r.now.Attempt.Nonce, "the record stays: %s", name)
+		a, r := abandonedWith(c)
+		require.False(t, a.cleanUp(context.Background(), zap.NewNop()), name)
+		require.Equal(t, "n", r.now.Attempt.Nonce, "the record is unchanged: %s", name)
 	}
 
-	a, r = leftBy(&server{status: paused.status})
+	a, r = abandonedWith(&server{status: paused.status})
 	r.now.Revision++
-	require.True(t, a.tidy(context.Background(), zap.NewNop()))
+	require.True(t, a.cleanUp(context.Background(), zap.NewNop()))
 	require.Equal(t, "n", r.now.Attempt.Nonce, "another VM was first")
 }
 
-// The VM that has ordered a promotion is killed and starts anew. Its order may
-// still be on its way: while the old primary leads it must not let the replicas go,
-// and once the new one does there is nothing to wait for.
-func TestRestartedHolderWaitsForItsOrderToArrive(t *testing.T) {
-	p := New(Config{Node: "vm1", Clock: still{}, Log: zap.NewNop()})
-	w := &watched{}
+// The VM that has ordered a promotion is killed and restarts. Its call may still be on its way:
+// while the old primary leads the VM must not resume the replicas, and once the new one leads there
+// is nothing to wait for.
+func TestRestartedHolderWaitsForItsCallToArrive(t *testing.T) {
+	p := New(Config{Node: "vm1", Clock: fixedClock{}, Log: zap.NewNop()})
+	w := &serviceState{}
 	own := &catalog.Reign{Service: "s", Revision: 9, Holder: "vm1", Attempt: &catalog.Attempt{Holder: "vm1", Nonce: "before", Deposed: "a"}}
 	start := clock.Time(time.Second)
-	require.True(t, p.othersAct(own, w, start))
-	require.False(t, p.othersAct(own, w, start.Add(takeover.OwnLapse)), "it may begin a new attempt")
+	require.True(t, p.otherAttempt(own, w, start))
+	require.False(t, p.otherAttempt(own, w, start.Add(takeover.OwnLapse)), "it may begin a new attempt")
 	require.False(t, p.abandoned(own, w, "a", start.Add(takeover.OwnLapse)))
 	require.False(t, p.abandoned(own, w, "b", start.Add(takeover.OwnLapse-1)))
 	require.True(t, p.abandoned(own, w, "b", start.Add(takeover.OwnLapse)))
 	require.True(t, p.abandoned(own, w, "a", start.Add(takeover.Lapse)))
 	w.nonce = "before"
-	require.False(t, p.abandoned(own, w, "b", start.Add(takeover.OwnLapse)), "an attempt of this process lapses like any other")
+	require.False(t, p.abandoned(own, w, "b", start.Add(takeover.OwnLapse)), "an attempt of this process expires like any other")
 }
 
-// A replica was paused and starts again before anybody is promoted. It has forgotten
-// the pause and follows the old primary, which confirms sales with its help that the
-// other replica lacks. Promoted, that one would have lost them. The same holds for
-// one that is paused again by another VM's order but holds nothing any more.
-func TestPauseBeforeARebirthIsNoFence(t *testing.T) {
+// A replica was paused and restarts before any target is promoted. It has lost the pause and
+// follows the old primary, which confirms commits with its help that the other replica lacks. If
+// that one were promoted, those commits would be lost. The same applies to a replica that is paused
+// again by another VM's command but has lost its log.
+func TestPauseBeforeRestartIsNoFence(t *testing.T) {
 	at := func(n int) timeline.Position { return timeline.Position{Term: term - 1, LSN: timeline.LSN(n)} }
 	paused := statement.Status{Role: target.RoleReplica, Term: term - 1, Paused: term, Received: at(100)}
 	for name, c := range map[string]struct {
@@ -220,9 +219,9 @@
 		dead bool
 		want error
 	}{
-		"it is as it was":            {now: paused},
-		"it has forgotten the pause": {now: statement.Status{Role: target.RoleReplica, Term: term - 1, Received: at(101)}, want: errReborn},
-		"it holds nothing":           {now: statement.Status{Role: target.RoleReplica, Paused: term}, want: errReborn},
+		"it is unchanged":       {now: paused},
+		"it has lost the pause": {now: statement.Status{Role: target.RoleReplica, Term: term - 1, Received: at(101)}, want: errRestarted},
+		"its log is empty":      {now: statement.Status{Role: target.RoleReplica, Paused: term}, want: errRestarted},
 	} {
 		servers := map[target.ID]*server{"b": {status: paused}, "c": {status: c.now}}
 		fenced := []takeover.Fenced{{ID: "b", Received: at(100)}, {ID: "c", Received: at(100)}}
@@ -232,13 +231,13 @@
 	require.Error(t, attemptOn(servers).stillPaused(context.Background(), []takeover.Fenced{{ID: "c"}}))
 }
 
-// The chosen target starts again on the way to its promotion, and leads with nothing.
-// Its peers must not be let go to follow it: they hold what was confirmed.
-func TestChosenTargetMustLeadWithWhatItHeld(t *testing.T) {
+// The chosen target restarts during its promotion, and leads with an empty log. Its peers must not
+// be resumed to follow it, since they hold what was confirmed.
+func TestChosenTargetMustRetainItsLog(t *testing.T) {
 	held := timeline.Position{Term: term - 1, LSN: 100}
 	lead := &server{status: statement.Status{Role: target.RolePrimary, Term: term, Received: held}}
 	a := attemptOn(map[target.ID]*server{"b": lead})
 	require.NoError(t, a.awaitLead(context.Background(), takeover.Fenced{ID: "b", Received: held}))
 	lead.status.Received = timeline.Position{Term: term}
-	require.ErrorIs(t, a.awaitLead(context.Background(), takeover.Fenced{ID: "b", Received: held}), errReborn)
+	require.ErrorIs(t, a.awaitLead(context.Background(), takeover.Fenced{ID: "b", Received: held}), errRestarted)
 }
--- a/promoter/promoter.go
+++ b/promoter/promoter.go
@@ -15,24 +15,24 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// Records keeps the fleet's records of leadership in the store. All changes
-// are conditional on the record's revision.
+// Records stores the fleet's leadership records. All changes are conditional on the record's
+// revision.
 type Records interface {
-	// Begin records an attempt on top of what is known of the service, and
-	// returns the revision that it got.
+	// Begin records an attempt, given the known record of the service, and returns the new record
+	// with its revision.
 	Begin(ctx context.Context, known *catalog.Reign, a catalog.Attempt) (*catalog.Reign, error)
-	// End takes the attempt away again. The primary is the one that now leads,
-	// as far as the fleet has ordered it.
+	// End removes the attempt from the record. The primary is the one that now leads, as far as the
+	// fleet has ordered it.
 	End(ctx context.Context, held *catalog.Reign, primary target.ID) error
 }
 
-// Designator orders the platform to make a target the primary. The errors
-// ErrNotRunning and ErrRefused say that nothing was done.
+// Designator requests that the platform make a target the primary. Nothing was done if the error is
+// ErrNotRunning or the platform's refusal.
 type Designator interface {
 	Promote(ctx context.Context, holder string, token int64, service string, id target.ID) error
 }
 
-// Fleet is what the other VMs and the store are asked for by an attempt.
+// Fleet provides what an attempt needs from the other VMs and the store.
 type Fleet interface {
 	// ListTargets returns the service's targets as the store has them now.
 	ListTargets(ctx context.Context, service string) ([]target.ID, error)
@@ -40,14 +40,13 @@
 	// permission. The list is read from the store after the attempt was
 	// recorded there.
 	RevokeAll(ctx context.Context, held *catalog.Reign) bool
-	// Reaches reports whether this VM reaches any other at a moment, as far as it has
-	// tried.
+	// Reaches reports whether this VM reaches any other VM at a given time, as far as it has tried.
 	Reaches(now clock.Time) bool
 }
 
 // Config of a Promoter.
 type Config struct {
-	// Node is this VM's name. It holds attempts by it.
+	// Node is this VM's name, under which it holds attempts.
 	Node     string
 	Catalog  *catalog.Holder
 	Groups   *groups.Registry
@@ -58,54 +57,54 @@
 	Log      *zap.Logger
 	// Nonce returns a new name for an attempt.
 	Nonce func() string
-	// Era is the latest era of the store that is known, and RestoredAt when it was first
-	// heard of; 0 is that this process knows no other. If they are nil the store has one
-	// era only.
+	// Era returns the latest known era of the store, and RestoredAt when that era was first
+	// received; 0 means that this process knows no other. If they are nil the store has only one
+	// era.
 	Era        func() int64
 	RestoredAt func() clock.Time
 }
 
 const (
-	// tick is how often the primaries' signs are looked at.
+	// tick is the interval at which the symptoms of the primaries are evaluated.
 	tick = 50 * time.Millisecond
-	// askTimeout bounds a question to a primary that seems dead.
-	askTimeout = 250 * time.Millisecond
-	// askEvery is the interval of those questions.
-	askEvery = 100 * time.Millisecond
-	// quietAfter is how long statements may wait with none answered before the
-	// primary is asked: longer than the longest usual work of 45 ms behind a
-	// queue, short against SilentAfter.
-	quietAfter = 150 * time.Millisecond
-	// stoodStill is the gap between two ticks that shows that this VM itself
-	// stood still: what went unanswered then says nothing of the primary.
-	stoodStill = 400 * time.Millisecond
-	// tryPause is the least time between two attempts of this VM.
-	tryPause = 400 * time.Millisecond
+	// statusTimeout bounds a status query to a primary that seems unresponsive.
+	statusTimeout = 250 * time.Millisecond
+	// statusInterval is the interval between those queries.
+	statusInterval = 100 * time.Millisecond
+	// unansweredAfter is how long statements may wait with none answered before the primary is
+	// queried: longer than the longest usual work of 45 ms behind a queue, and short compared with
+	// UnresponsiveAfter.
+	unansweredAfter = 150 * time.Millisecond
+	// suspendedAfter is the gap between two ticks that shows that this VM itself was suspended:
+	// requests that went unanswered then do not show a fault of the primary.
+	suspendedAfter = 400 * time.Millisecond
+	// attemptPause is the least time between two attempts of this VM.
+	attemptPause = 400 * time.Millisecond
 )
 
 // Promoter watches all services.
 type Promoter struct {
-	cfg   Config
-	last  clock.Time // when Look was last called
-	apart clock.Time // since when this VM reaches no other; 0 if it does
+	cfg           Config
+	lastCheck     clock.Time // when CheckDue was last called
+	isolatedSince clock.Time // since when this VM reaches no other VM; 0 if it reaches one
 
-	mu      sync.Mutex
-	watched map[string]*watched
-	running sync.WaitGroup
+	mu       sync.Mutex
+	services map[string]*serviceState
+	running  sync.WaitGroup
 }
 
-// watched is what the Promoter keeps of one service.
-type watched struct {
-	asked     clock.Time
-	reason    takeover.Reason
-	since     clock.Time
-	busy      bool
-	notBefore clock.Time
-	nonce     string     // of the latest attempt of this process
-	revision  int64      // of the record of leadership, as last seen
-	seen      clock.Time // when it was first seen
-	unmoved   target.ID  // designated by this process, and does not lead
-	deposed   map[target.ID]*pursuit
+// serviceState is the Promoter's state of one service.
+type serviceState struct {
+	queriedAt    clock.Time
+	reason       takeover.Reason
+	reasonSince  clock.Time
+	busy         bool
+	notBefore    clock.Time
+	nonce        string     // of the latest attempt of this process
+	revision     int64      // of the latest known leadership record
+	revisionSeen clock.Time // when that revision was first received
+	ineffective  target.ID  // designated by this process without effect; it does not lead
+	followUps    map[target.ID]*followUp
 }
 
 // New returns a Promoter.
@@ -114,7 +113,7 @@
 		cfg.Era = func() int64 { return 0 }
 		cfg.RestoredAt = func() clock.Time { return 0 }
 	}
-	return &Promoter{cfg: cfg, watched: make(map[string]*watched)}
+	return &Promoter{cfg: cfg, services: make(map[string]*serviceState)}
 }
 
 // Run watches until ctx ends, and then waits for an attempt under way.
@@ -132,98 +131,98 @@
 	}
 }
 
-// Look judges the services that are due in a tick, and begins the attempts that are
-// this VM's to make. It is called by one goroutine.
+// CheckDue evaluates the services that are due in a tick, and begins the attempts that this VM is
+// to make. It is called by one goroutine.
 func (p *Promoter) Look(ctx context.Context, n int) {
 	now := p.cfg.Clock.Now()
-	if p.last != 0 && now.Sub(p.last) > stoodStill {
+	if p.lastCheck != 0 && now.Sub(p.lastCheck) > suspendedAfter {
 		p.cfg.Log.Info("stood-still")
-		p.forgive(now)
+		p.resetFailures(now)
 	}
-	p.last = now
-	p.noteApart(now)
+	p.lastCheck = now
+	p.recordIsolation(now)
 	for _, g := range p.cfg.Groups.Due(n) {
-		p.look(ctx, g, now)
+		p.check(ctx, g, now)
 	}
 }
 
-// noteApart notes whether this VM reaches others. Once it does again, what went
-// unanswered meanwhile says nothing of the primaries.
-func (p *Promoter) noteApart(now clock.Time) {
+// recordIsolation records whether this VM reaches others. Once it does again, requests that went
+// unanswered meanwhile do not show a fault of the primaries.
+func (p *Promoter) recordIsolation(now clock.Time) {
 	switch reaches := p.reachesOthers(); {
-	case reaches && p.apart != 0:
-		p.cfg.Log.Info("reaches-others", zap.Duration("apart", now.Sub(p.apart)))
-		p.apart = 0
-		p.forgive(now)
-	case !reaches && p.apart == 0:
+	case reaches && p.isolatedSince != 0:
+		p.cfg.Log.Info("reaches-others", zap.Duration("apart", now.Sub(p.isolatedSince)))
+		p.isolatedSince = 0
+		p.resetFailures(now)
+	case !reaches && p.isolatedSince == 0:
 		p.cfg.Log.Warn("reaches-nobody")
-		p.apart = now
+		p.isolatedSince = now
 	}
 }
 
-// reachesOthers reports whether this VM reaches any other.
+// reachesOthers reports whether this VM reaches any other VM.
 func (p *Promoter) reachesOthers() bool { return p.cfg.Fleet.Reaches(p.cfg.Clock.Now()) }
 
-// forgive forgets failures that this VM's own state explains.
-func (p *Promoter) forgive(now clock.Time) {
+// resetFailures discards failures that this VM's own state explains.
+func (p *Promoter) resetFailures(now clock.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, g := range p.cfg.Groups.All() {
 		g.Health.Reset(now)
-		w := p.of(g.Service)
+		w := p.stateOf(g.Service)
 		w.reason = takeover.ReasonNone
 	}
 }
 
-// of returns the service's record; the caller holds the lock.
-func (p *Promoter) of(service string) *watched {
-	w := p.watched[service]
+// stateOf returns the state of a service; the caller holds the lock.
+func (p *Promoter) stateOf(service string) *serviceState {
+	w := p.services[service]
 	if w == nil {
-		w = &watched{deposed: make(map[target.ID]*pursuit)}
-		p.watched[service] = w
+		w = &serviceState{followUps: make(map[target.ID]*followUp)}
+		p.services[service] = w
 	}
 	return w
 }
 
-// look judges one service and acts on it.
-func (p *Promoter) look(ctx context.Context, g *groups.Group, now clock.Time) {
+// check evaluates one service and begins an attempt if one is due.
+func (p *Promoter) check(ctx context.Context, g *groups.Group, now clock.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w := p.of(g.Service)
+	w := p.stateOf(g.Service)
 	b := g.Leadership.Believed()
-	if b.Primary == w.unmoved {
-		w.unmoved = ""
+	if b.Primary == w.ineffective {
+		w.ineffective = ""
 	}
-	p.pursue(ctx, g, w, now)
-	known := p.known(g.Service)
-	others := p.othersAct(known, w, now) || p.restoredLately(now)
-	signs := p.signs(g, b.Primary, now)
-	signs.Settled = now.Sub(w.seen)
-	if p.suspicious(g, b.Primary, now) && now.Sub(w.asked) >= askEvery {
-		w.asked = now
-		go g.Ask(ctx, b.Primary, spending.Suspicion, 0, askTimeout)
+	p.sendFollowUps(ctx, g, w, now)
+	known := p.leadershipRecord(g.Service)
+	others := p.otherAttempt(known, w, now) || p.restoredRecently(now)
+	symptoms := p.symptoms(g, b.Primary, now)
+	symptoms.Settled = now.Sub(w.revisionSeen)
+	if p.suspected(g, b.Primary, now) && now.Sub(w.queriedAt) >= statusInterval {
+		w.queriedAt = now
+		go g.Ask(ctx, b.Primary, spending.Suspicion, 0, statusTimeout)
 	}
-	reason := takeover.Judge(signs)
-	left := p.abandoned(known, w, b.Primary, now)
-	if reason == takeover.ReasonNone && left {
+	reason := takeover.Judge(symptoms)
+	leftOpen := p.abandoned(known, w, b.Primary, now)
+	if reason == takeover.ReasonNone && leftOpen {
 		reason = takeover.ReasonAbandoned
 	}
 	if reason != w.reason {
-		w.reason, w.since = reason, now
+		w.reason, w.reasonSince = reason, now
 	}
 	if reason == takeover.ReasonNone || w.busy || now.Before(w.notBefore) || others {
 		return
 	}
-	if now.Sub(w.since) < p.turn(g.Service) {
+	if now.Sub(w.reasonSince) < p.staggerDelay(g.Service) {
 		return
 	}
 	w.busy = true
 	p.running.Add(1)
-	a := &attempt{p: p, g: g, reason: reason, old: b.Primary, known: known, started: now, others: g.Replicas(b.Primary), tidies: left && reason.Answers()}
-	go p.act(context.WithoutCancel(ctx), a, b, signs)
+	a := &attempt{p: p, g: g, reason: reason, old: b.Primary, known: known, started: now, others: g.Replicas(b.Primary), cleansUp: leftOpen && reason.Answers()}
+	go p.runAttempt(context.WithoutCancel(ctx), a, b, symptoms)
 }
 
-func (p *Promoter) signs(g *groups.Group, primary target.ID, now clock.Time) takeover.Signs {
+func (p *Promoter) symptoms(g *groups.Group, primary target.ID, now clock.Time) takeover.Signs {
 	s := takeover.Signs{Known: primary != "", Absent: g.Absent()}
 	if t := p.cfg.Catalog.Load().Targets[primary]; t != nil {
 		s.Draining = t.Draining
@@ -234,30 +233,30 @@
 	return s
 }
 
-// suspicious reports whether the primary should be asked if it lives.
-func (p *Promoter) suspicious(g *groups.Group, primary target.ID, now clock.Time) bool {
+// suspected reports whether the primary should be queried whether it is alive.
+func (p *Promoter) suspected(g *groups.Group, primary target.ID, now clock.Time) bool {
 	h := g.Health.Signs(primary, now)
-	return primary != "" && (h.Silent > 0 || h.Quiet > quietAfter)
+	return primary != "" && (h.Silent > 0 || h.Quiet > unansweredAfter)
 }
 
-// known is the service's record of leadership; an empty one if there is none.
-func (p *Promoter) known(service string) *catalog.Reign {
+// leadershipRecord returns the service's leadership record; an empty one if there is none.
+func (p *Promoter) leadershipRecord(service string) *catalog.Reign {
 	if r := p.cfg.Catalog.Load().Reigns[service]; r != nil {
 		return r
 	}
 	return &catalog.Reign{Service: service}
 }
 
-// othersAct reports whether another VM's attempt is under way and has not
-// lapsed, or has ended just now.
-func (p *Promoter) othersAct(r *catalog.Reign, w *watched, now clock.Time) bool {
+// otherAttempt reports whether another VM's attempt is under way and has not expired, or has ended
+// within the settle period.
+func (p *Promoter) otherAttempt(r *catalog.Reign, w *serviceState, now clock.Time) bool {
 	if r.Revision != w.revision {
-		w.revision, w.seen = r.Revision, now
+		w.revision, w.revisionSeen = r.Revision, now
 	}
-	since := now.Sub(w.seen)
+	since := now.Sub(w.revisionSeen)
 	switch {
 	case r.Attempt != nil:
-		return since < p.lapse(r, w)
+		return since < p.expireAfter(r, w)
 	case r.Holder != "" && r.Holder != p.cfg.Node:
 		return since < takeover.Settle
 	default:
@@ -265,39 +264,39 @@
 	}
 }
 
-// restoredLately reports whether the store has come back from an older copy so lately
-// that an attempt whose record is lost may still be under way.
+// restoredRecently reports whether the store was restored from an older copy so recently that an
+// attempt whose record is lost may still be under way.
 //
-// Failure guarded against: a VM begins an attempt of its own beside one that the store has
-// forgotten. Both replace the primary, one of them under a token that is lower than what the
-// platform has seen.
-func (p *Promoter) restoredLately(now clock.Time) bool {
+// Failure guarded against: a VM begins an attempt of its own in parallel with one whose record the
+// store has lost. Both replace the primary, one of them under a lower token than the platform has
+// already received.
+func (p *Promoter) restoredRecently(now clock.Time) bool {
 	at := p.cfg.RestoredAt()
 	return at != 0 && now.Sub(at) < takeover.Settle
 }
 
-// lapse is how long an attempt is left to its holder.
+// expireAfter returns how long an open attempt is left to its holder.
 //
-// Failure guarded against: the holder of an attempt is killed and starts anew. It
-// would wait for its own attempt to lapse, as all others do, while nobody leads.
-func (p *Promoter) lapse(r *catalog.Reign, w *watched) time.Duration {
+// Failure guarded against: the holder of an attempt is killed and restarts. It would wait for its
+// own attempt to expire, as all others do, while no target leads.
+func (p *Promoter) expireAfter(r *catalog.Reign, w *serviceState) time.Duration {
 	if r.Attempt.Holder == p.cfg.Node && r.Attempt.Nonce != w.nonce {
 		return takeover.OwnLapse
 	}
 	return takeover.Lapse
 }
 
-func (p *Promoter) turn(service string) time.Duration {
+func (p *Promoter) staggerDelay(service string) time.Duration {
 	return takeover.Turn(service, p.cfg.Node, p.cfg.Catalog.Load().Names())
 }
 
-// done lets the next attempt of this VM come after a pause.
+// done makes this VM's next attempt possible after a pause.
 func (p *Promoter) done(g *groups.Group) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w := p.of(g.Service)
+	w := p.stateOf(g.Service)
 	now := p.cfg.Clock.Now()
-	w.busy, w.notBefore = false, now.Add(tryPause)
+	w.busy, w.notBefore = false, now.Add(attemptPause)
 	w.reason = takeover.ReasonNone
 	p.running.Done()
 }
--- a/promoter/restore_test.go
+++ b/promoter/restore_test.go
@@ -15,7 +15,7 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// designations notes the orders to promote.
+// designations records the calls to promote.
 type designations struct{ tokens []int64 }
 
 func (d *designations) Promote(_ context.Context, _ string, token int64, _ string, _ target.ID) error {
@@ -23,24 +23,25 @@
 	return nil
 }
 
-// restoredStore is a Config's view of a store that has come back.
+// restoredStore returns the Config for a store that was restored.
 func restoredStore(era int64, at clock.Time) Config {
-	return Config{Node: "vm1", Clock: still{}, Log: zap.NewNop(), Catalog: catalog.NewHolder(),
+	return Config{Node: "vm1", Clock: fixedClock{}, Log: zap.NewNop(), Catalog: catalog.NewHolder(),
 		Era: func() int64 { return era }, RestoredAt: func() clock.Time { return at }}
 }
 
-// Guards against: a second holder while one whose record the store has lost still acts.
-func TestNobodyActsRightAfterARestore(t *testing.T) {
+// Failure guarded against: a VM becomes a second holder while one whose record the store has lost
+// still acts.
+func TestSettlePeriodAfterStoreRestore(t *testing.T) {
 	at := clock.Time(time.Second)
 	p := New(restoredStore(2, at))
-	require.True(t, p.restoredLately(at.Add(takeover.Settle-1)))
-	require.False(t, p.restoredLately(at.Add(takeover.Settle)))
-	require.Greater(t, takeover.Settle, takeover.Limit, "orders of the former era are over")
-	require.False(t, New(restoredStore(1, 0)).restoredLately(at), "the first era is no restore")
+	require.True(t, p.restoredRecently(at.Add(takeover.Settle-1)))
+	require.False(t, p.restoredRecently(at.Add(takeover.Settle)))
+	require.Greater(t, takeover.Settle, takeover.Limit, "no call of the former era is still sent")
+	require.False(t, New(restoredStore(1, 0)).restoredRecently(at), "the first era is no restore")
 }
 
-// Guards against: an order under the token of an attempt that the store has forgotten.
-func TestAttemptOfAnEarlierEraOrdersNothing(t *testing.T) {
+// Failure guarded against: an attempt whose record the store has lost sends a call under its token.
+func TestAttemptOfEarlierEraSendsNoCall(t *testing.T) {
 	d := &designations{}
 	cfg := restoredStore(2, clock.Time(time.Second))
 	cfg.Platform = d
@@ -51,21 +52,22 @@
 	require.False(t, a.ordered)
 	a.held = &catalog.Reign{Service: "s", Revision: catalog.RevisionOf(2, 3)}
 	require.NoError(t, a.designate(context.Background(), "t"))
-	require.Greater(t, d.tokens[0], catalog.RevisionOf(1, 450), "tokens rise over eras")
+	require.Greater(t, d.tokens[0], catalog.RevisionOf(1, 450), "tokens increase from era to era")
 }
 
-// Guards against: targets that stay paused for good, as the record of who paused them is lost.
-func TestOutdatedRecordIsTidiedOnceNobodyCanAct(t *testing.T) {
+// Failure guarded against: targets stay paused permanently, since the record of the attempt that
+// paused them is lost.
+func TestOutdatedRecordIsAbandonedAfterExpiry(t *testing.T) {
 	p := New(restoredStore(2, clock.Time(time.Second)))
 	start := clock.Time(time.Minute)
 	for _, r := range []*catalog.Reign{
 		{Service: "s", Revision: catalog.RevisionOf(2, 7), Era: 1, Primary: "t"},
 		{Service: "s", Lost: true},
 	} {
-		w := &watched{revision: r.Revision, seen: start}
+		w := &serviceState{revision: r.Revision, revisionSeen: start}
 		require.False(t, p.abandoned(r, w, "t", start.Add(takeover.Lapse-1)))
 		require.True(t, p.abandoned(r, w, "t", start.Add(takeover.Lapse)))
 	}
 	now := &catalog.Reign{Service: "s", Revision: catalog.RevisionOf(2, 7), Era: 2}
-	require.False(t, p.abandoned(now, &watched{seen: start}, "t", start.Add(time.Hour)))
+	require.False(t, p.abandoned(now, &serviceState{revisionSeen: start}, "t", start.Add(time.Hour)))
 }
