--- a/dispatch/hold.go
+++ b/dispatch/hold.go
@@ -40,7 +40,7 @@
 	switch {
 	case end.Answered:
 		return nil
-	case g.Leadership.Believed().Primary != id || g.Deposing(id):
+	case g.Leadership.Current().Primary != id || g.BeingReplaced(id):
 		return &lane.UnavailableError{Target: id, Expired: true, Cause: errReplaced}
 	default:
 		g.Breaker.Failed(l.Clock.Now())
--- a/dispatch/local.go
+++ b/dispatch/local.go
@@ -54,7 +54,7 @@
 		c.Discard()
 		return nil, err
 	}
-	Note(g, g.Leadership.Believed(), id, r)
+	Note(g, g.Leadership.Current(), id, r)
 	if r.Answer.State != statement.Idle {
 		c.Discard()
 		r.Answer.State = statement.Idle
@@ -129,7 +129,7 @@
 
 // Note turns what an answer shows into evidence: where the target's log stands,
 // or that it does not lead.
-func Note(g *groups.Group, b leadership.Belief, id target.ID, r *Result) {
+func Note(g *groups.Group, b leadership.State, id target.ID, r *Result) {
 	switch r.Answer.Code {
 	case statement.ReadOnly:
 		g.Refused(id)
@@ -138,12 +138,12 @@
 	}
 }
 
-func notePosition(g *groups.Group, b leadership.Belief, id target.ID, sent clock.Time, p timeline.Position) {
+func notePosition(g *groups.Group, b leadership.State, id target.ID, sent clock.Time, p timeline.Position) {
 	switch {
 	case b.Primary == id && b.Term != 0:
-		g.Acknowledged.Told(p)
+		g.Acknowledged.RecordPosition(p)
 		g.Freshness.Sample(b.Term, id, sent, p)
-	case b.Primary != id && g.Vouches(id):
+	case b.Primary != id && g.CanWitness(id):
 		g.Freshness.Seen(id, p)
 	}
 }
--- a/dispatch/transaction.go
+++ b/dispatch/transaction.go
@@ -15,13 +15,13 @@
 	local  *Local
 	group  *groups.Group
 	conn   *lane.Conn
-	belief leadership.Belief
+	belief leadership.State
 }
 
 // Open implements Runner.
 func (l *Local) Open(ctx context.Context, id target.ID, claim Claim, o *Opening) (Transaction, *statement.Answer, error) {
 	g := l.Groups.Use(o.Service)
-	b := g.Leadership.Believed()
+	b := g.Leadership.Current()
 	c, err := l.acquire(ctx, g, id, claim)
 	if err != nil {
 		return nil, nil, err
--- a/edge/behind_test.go
+++ b/edge/behind_test.go
@@ -79,7 +79,7 @@
 			f.kill(holder)
 		}()
 		browse(f, 60, 14*time.Second)
-		time.Sleep(takeover.Lapse + 5*time.Second)
+		time.Sleep(takeover.ExpireAfter + 5*time.Second)
 		alive := ""
 		for name, v := range f.vms {
 			if !v.killed.Load() {
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -152,8 +152,8 @@
 	e.pool = lane.NewPool(e.clk, e.dialer)
 	e.gossip = newGossiper(e)
 	e.groups = groups.NewRegistry(groups.Config{
-		Catalog: e.catalog, Asker: asker{e}, Clock: e.clk, Decode: line.ParseStatus, Records: reigns{e},
-		Eligible: e.gossip.eligible, Asked: e.spent.Asked, LeaveAfter: leaveAfter(set), Log: log,
+		Catalog: e.catalog, Control: asker{e}, Clock: e.clk, Decode: line.ParseStatus, Records: reigns{e},
+		Eligible: e.gossip.eligible, OnCommand: e.spent.Asked, DrainTimeout: leaveAfter(set), Log: log,
 		Era: e.eras.current,
 	})
 	e.limits = newLimits(e)
--- a/edge/failover_test.go
+++ b/edge/failover_test.go
@@ -404,7 +404,7 @@
 			"holder": "vm9", "attempt": map[string]any{"nonce": "n", "deposed": "ledger-0"},
 		})
 		c := f.session("vm0", exact)
-		_, bought := buyUntil(f, c, takeover.Lapse+time.Second)
+		_, bought := buyUntil(f, c, takeover.ExpireAfter+time.Second)
 		o, ok := f.world.Store.Get("endivemoor", "reign."+service)
 		require.True(t, ok)
 		require.NotContains(t, string(o.Spec), "attempt")
--- a/edge/gossip.go
+++ b/edge/gossip.go
@@ -168,7 +168,7 @@
 // Failure guarded against: every proof reaches every VM, whether anybody there
 // needs it or not. At 2,900 services that is 1.4 MB a second for each VM.
 func (g *gossiper) question() gossip.PullOptions {
-	q := gossip.PullOptions{Self: g.edge.set.Node, Known: g.edge.catalog.Load(), Selects: !g.edge.groups.Few(), FullLists: g.whole.Load()}
+	q := gossip.PullOptions{Self: g.edge.set.Node, Known: g.edge.catalog.Load(), Selects: !g.edge.groups.AllUsed(), FullLists: g.whole.Load()}
 	if q.Selects {
 		for _, group := range g.edge.groups.Used() {
 			q.Services = append(q.Services, group.Service)
@@ -238,7 +238,7 @@
 func (g *gossiper) take(n *gossip.Update) {
 	e := g.edge
 	for service, p := range n.Proofs {
-		e.groups.Group(service).Hear(p, n.Acknowledged[service])
+		e.groups.Group(service).MergeProof(p, n.Acknowledged[service])
 	}
 	if n.Config != nil && e.catalog.SetConfig(n.Config) {
 		e.log.Info("configuration", zap.Int64("version", n.Config.Version), zap.Int("routes", len(n.Config.Routes)), zap.String("from", "peer"))
--- a/edge/largeconfig_test.go
+++ b/edge/largeconfig_test.go
@@ -88,7 +88,9 @@
 // lookoutsOf are the VMs that look out for the others.
 func lookoutsOf(names []string) []string {
 	const lookouts = 6
-	turn := func(a, b string) int { return int(takeover.Turn("store", a, names) - takeover.Turn("store", b, names)) }
+	turn := func(a, b string) int {
+		return int(takeover.StaggerDelay("store", a, names) - takeover.StaggerDelay("store", b, names))
+	}
 	return slices.SortedFunc(slices.Values(names), turn)[:lookouts]
 }
 
--- a/edge/leaderless_test.go
+++ b/edge/leaderless_test.go
@@ -32,7 +32,7 @@
 		recordAttempt(f, "vm9")
 		f.world.Crash(service, "ledger-0")
 		questions, calls := f.group.Questions(), f.world.Store.Calls()
-		sellAtOnce(f, []string{exact, bounded}, 10, takeover.Lapse-time.Second, read)
+		sellAtOnce(f, []string{exact, bounded}, 10, takeover.ExpireAfter-time.Second, read)
 		questions, calls = f.group.Questions()-questions, f.world.Store.Calls()-calls
 		t.Logf("questions %d, calls to the store %d", questions, calls)
 		require.Less(t, questions, int64(3*4*2*5), "each VM asks each replica five times a second at most")
@@ -72,12 +72,12 @@
 		recordAttempt(f, "vm9")
 		f.world.Crash(service, "ledger-0")
 		go func() {
-			time.Sleep(takeover.Lapse - 3*time.Second)
+			time.Sleep(takeover.ExpireAfter - 3*time.Second)
 			f.world.Store.Remove("servers", "ledger-0")
 		}()
 		gap, bought := buyUntil(f, c, 8*time.Second)
 		require.NotEmpty(t, bought)
-		require.Less(t, gap, takeover.Lapse+time.Second)
+		require.Less(t, gap, takeover.ExpireAfter+time.Second)
 		f.fair()
 	})
 }
--- a/edge/lookout.go
+++ b/edge/lookout.go
@@ -47,8 +47,8 @@
 // othersLookOut reports whether this VM is not among the first so many, and its copy
 // of a list is known to have been the store's a short time ago.
 func (e *Edge) othersLookOut(first int, l recency.List) bool {
-	rank := takeover.Turn(lookout, e.set.Node, e.catalog.Load().VMNames())
-	return rank >= time.Duration(first)*takeover.TurnEvery && e.upToDate(l)
+	rank := takeover.StaggerDelay(lookout, e.set.Node, e.catalog.Load().VMNames())
+	return rank >= time.Duration(first)*takeover.StaggerInterval && e.upToDate(l)
 }
 
 // upToDate reports whether there is young evidence for this VM's copy of a list, or
--- a/engine/confirm.go
+++ b/engine/confirm.go
@@ -19,8 +19,8 @@
 // remain valid. A recent answer of a witness suffices, because an attempt revokes all read
 // permissions before it searches for new replicas, and waits until those of VMs that do not answer
 // have expired.
-func (s *Session) stillLeads(ctx context.Context, g *groups.Group, leader leadership.Belief) bool {
-	if g.Deposing(leader.Primary) {
+func (s *Session) stillLeads(ctx context.Context, g *groups.Group, leader leadership.State) bool {
+	if g.BeingReplaced(leader.Primary) {
 		s.logUnwitnessed(g, leader, groups.ErrSuperseded)
 		return false
 	}
@@ -28,10 +28,10 @@
 	if err != nil {
 		s.logUnwitnessed(g, leader, err)
 	}
-	return err == nil && !g.Deposing(leader.Primary)
+	return err == nil && !g.BeingReplaced(leader.Primary)
 }
 
-func (s *Session) logUnwitnessed(g *groups.Group, leader leadership.Belief, err error) {
+func (s *Session) logUnwitnessed(g *groups.Group, leader leadership.State, err error) {
 	s.engine.cfg.Log.Info("commit-unwitnessed", zap.String("service", g.Service),
 		zap.String("primary", string(leader.Primary)), zap.Uint64("term", uint64(leader.Term)), zap.Error(err))
 }
--- a/engine/place.go
+++ b/engine/place.go
@@ -10,7 +10,7 @@
 // among all. The second result is set if there is no other choice.
 func (s *Session) place(g *groups.Group, tried map[target.ID]bool) (target.ID, bool) {
 	cat := s.engine.cfg.Catalog.Load()
-	primary := g.Leadership.Believed().Primary
+	primary := g.Leadership.Current().Primary
 	var candidates []placing.Candidate
 	for _, t := range cat.ByService[g.Service] {
 		if t.Draining || tried[t.ID] {
--- a/engine/single.go
+++ b/engine/single.go
@@ -132,7 +132,7 @@
 		if g.Health.Failing(leader.Primary) == 0 && !s.engine.cfg.Runner.Proves(leader.Primary) {
 			proof = s.prove(ctx, g, leader, w.arrived)
 		}
-		position := g.Freshness.Stood(leader.Term, leader.Primary)
+		position := g.Freshness.LastPosition(leader.Term, leader.Primary)
 		a, result := s.try(ctx, leader.Primary, w, position, limits{queue: timeLeft(ctx), answer: s.tryTimeout(leader.Primary)})
 		if result == saturated {
 			return s.giveUp(w, statement.Busy, "the primary has no time")
@@ -158,7 +158,7 @@
 }
 
 // primary waits until the service has a known primary.
-func (s *Session) primary(ctx context.Context, g *groups.Group, w *work) (leadership.Belief, error) {
+func (s *Session) primary(ctx context.Context, g *groups.Group, w *work) (leadership.State, error) {
 	begun := s.engine.cfg.Clock.Now()
 	leader, err := g.Primary(ctx)
 	w.recordPhase(phasePrimary, begun, s.engine.cfg.Clock.Now())
@@ -175,7 +175,7 @@
 
 // prove queries a replica, in the background, whether the primary's term is still the latest. The
 // result is sent on the channel.
-func (s *Session) prove(ctx context.Context, g *groups.Group, leader leadership.Belief, arrived clock.Time) <-chan bool {
+func (s *Session) prove(ctx context.Context, g *groups.Group, leader leadership.State, arrived clock.Time) <-chan bool {
 	out := make(chan bool, 1)
 	if g.Permitted(leader, arrived) {
 		out <- true
@@ -212,7 +212,7 @@
 			s.recordLateRead(g, w, id, result)
 		}
 		if result == done {
-			s.engine.cfg.Metrics.countRead(g.Leadership.Believed().Primary == id)
+			s.engine.cfg.Metrics.countRead(g.Leadership.Current().Primary == id)
 			return a
 		}
 		tried[id] = true
@@ -230,8 +230,8 @@
 func (s *Session) recordLateRead(g *groups.Group, w *work, id target.ID, result tryResult) {
 	now := s.engine.cfg.Clock.Now()
 	late := result == saturated || now.Sub(w.arrived) > w.route.Objective
-	if late && g.Leadership.Believed().Primary == id {
-		g.Crowd.Late(now)
+	if late && g.Leadership.Current().Primary == id {
+		g.LateReads.Record(now)
 	}
 }
 
--- a/engine/transaction.go
+++ b/engine/transaction.go
@@ -31,7 +31,7 @@
 	began clock.Time
 	// open is nil until the first statement is sent.
 	open   dispatch.Transaction
-	leader leadership.Belief
+	leader leadership.State
 	// spent is how long its statements have taken so far. The consumer's pauses between them do not
 	// count against the objective.
 	spent time.Duration
@@ -302,7 +302,7 @@
 			return s.giveUpOpening(w, err.Error())
 		}
 		if tx.route.Freshness == catalog.Exact {
-			after = tx.group.Freshness.Stood(tx.leader.Term, id)
+			after = tx.group.Freshness.LastPosition(tx.leader.Term, id)
 		}
 		if s.openAt(ctx, tx, w, id, after) {
 			return nil
@@ -328,7 +328,7 @@
 func (s *Session) placeTransaction(ctx context.Context, tx *transaction, w *work, tried map[target.ID]bool, proven bool) (target.ID, error) {
 	tx.unproven = false
 	if tx.readOnly && tx.route.Freshness != catalog.Exact && proven {
-		tx.leader = tx.group.Leadership.Believed()
+		tx.leader = tx.group.Leadership.Current()
 		if id, _ := s.place(tx.group, tried); id != "" {
 			return id, nil
 		}
--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -43,7 +43,7 @@
 }
 
 // Tracker holds one service's evidence. It is safe for concurrent use.
-type Board struct {
+type Tracker struct {
 	mu        sync.Mutex
 	term      timeline.Term
 	leader    target.ID // the primary of term; empty if it is not known
@@ -53,7 +53,7 @@
 
 // Sample records that the primary of a term reported a position in reply to a status query sent at
 // the given time.
-func (b *Board) Sample(term timeline.Term, leader target.ID, sent clock.Time, p timeline.Position) {
+func (b *Tracker) Sample(term timeline.Term, leader target.ID, sent clock.Time, p timeline.Position) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.enter(term, leader) || p.IsZero() {
@@ -72,7 +72,7 @@
 
 // Witness records that a replica, queried at the given time, followed the term and was not paused
 // for a later one.
-func (b *Board) Witness(term timeline.Term, from target.ID, queried clock.Time) {
+func (b *Tracker) Witness(term timeline.Term, from target.ID, queried clock.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.enter(term, "") && b.mayWitness(from) && queried.After(b.witnessed) {
@@ -82,7 +82,7 @@
 
 // WitnessByRecord records that the store, queried at the given time, had no record of a promotion
 // after that of the term's leader.
-func (b *Board) WitnessByRecord(term timeline.Term, leader target.ID, queried clock.Time) {
+func (b *Tracker) WitnessByRecord(term timeline.Term, leader target.ID, queried clock.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.enter(term, leader) && queried.After(b.witnessed) {
@@ -91,13 +91,13 @@
 }
 
 // mayWitness reports whether a target's status can be a witness for the current term.
-func (b *Board) mayWitness(from target.ID) bool { return b.leader != "" && from != b.leader }
+func (b *Tracker) mayWitness(from target.ID) bool { return b.leader != "" && from != b.leader }
 
 // Seen records that a replica's log was at a position of the term. It is a witness for every sample
 // below that position: what lies beyond the sample was committed after the primary had replied, and
 // a paused replica would not have received it. Reads at replicas thereby renew the evidence without
 // a status query.
-func (b *Board) Seen(from target.ID, p timeline.Position) {
+func (b *Tracker) Seen(from target.ID, p timeline.Position) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if p.Term != b.term || !b.mayWitness(from) {
@@ -116,7 +116,7 @@
 
 // enter starts a later term, with no evidence yet, and reports whether evidence of the given term
 // counts. An empty leader means that it is not known.
-func (b *Board) enter(term timeline.Term, leader target.ID) bool {
+func (b *Tracker) enter(term timeline.Term, leader target.ID) bool {
 	if term > b.term {
 		b.term, b.leader, b.samples, b.witnessed = term, "", b.samples[:0], 0
 	}
@@ -128,7 +128,7 @@
 
 // Floor returns the lowest position that proves an age of at most maxAge. It uses the oldest sample
 // that is recent enough, since replicas are the most likely to hold it.
-func (b *Board) Floor(now clock.Time, maxAge time.Duration) (timeline.Position, bool) {
+func (b *Tracker) Floor(now clock.Time, maxAge time.Duration) (timeline.Position, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	oldest := now.Add(margin - maxAge)
@@ -146,7 +146,7 @@
 
 // Sampled returns when the query for the newest sample of a term was sent; zero if there is no
 // sample.
-func (b *Board) Sampled(term timeline.Term) clock.Time {
+func (b *Tracker) Sampled(term timeline.Term) clock.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if term != b.term || len(b.samples) == 0 {
@@ -173,7 +173,7 @@
 // everything is sent there before any VM has detected the restart, and is answered from the empty
 // log. A log holds every position that its own target has reported in the same term, unless it is
 // another log: required to hold this position, such a target refuses the read.
-func (b *Board) Stood(term timeline.Term, leader target.ID) timeline.Position {
+func (b *Tracker) LastPosition(term timeline.Term, leader target.ID) timeline.Position {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if term != b.term || leader != b.leader || len(b.samples) == 0 {
@@ -183,7 +183,7 @@
 }
 
 // Newest returns the newest proof; false if there is none.
-func (b *Board) Newest() (Proof, bool) {
+func (b *Tracker) Newest() (Proof, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := len(b.samples) - 1; i >= 0; i-- {
@@ -195,7 +195,7 @@
 }
 
 // MergeProof merges another VM's proof, whose times are converted to this VM's clock.
-func (b *Board) Relay(p Proof) {
+func (b *Tracker) MergeProof(p Proof) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.enter(p.Term, p.Leader) {
@@ -216,7 +216,7 @@
 }
 
 // WitnessedSince reports whether a witness of the term was queried at or after a time.
-func (b *Board) WitnessedSince(term timeline.Term, since clock.Time) bool {
+func (b *Tracker) WitnessedSince(term timeline.Term, since clock.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return term == b.term && b.witnessed != 0 && !b.witnessed.Before(since)
--- a/freshness/freshness_test.go
+++ b/freshness/freshness_test.go
@@ -19,7 +19,7 @@
 // A primary that was replaced, and is cut off from all but this VM, still answers. Its reply alone
 // must never count as evidence.
 func TestSampleWithoutWitnessProvesNothing(t *testing.T) {
-	b := &Board{}
+	b := &Tracker{}
 	b.Sample(1, "p", at(0), pos(1, 10))
 	_, ok := b.Floor(at(100), time.Second)
 	require.False(t, ok)
@@ -31,7 +31,7 @@
 
 // The witness was queried before the sample: a promotion may lie between them.
 func TestWitnessBeforeTheSampleDoesNotCount(t *testing.T) {
-	b := &Board{}
+	b := &Tracker{}
 	b.Sample(1, "p", at(0), pos(1, 10))
 	b.Witness(1, "r", at(50))
 	b.Sample(1, "p", at(200), pos(1, 20))
@@ -45,7 +45,7 @@
 // A replica that holds more than the primary had at a time has received it since, and was not
 // paused then, so that reads renew the evidence without a status query.
 func TestReplicaPositionBeyondTheSampleIsAWitness(t *testing.T) {
-	b := &Board{}
+	b := &Tracker{}
 	b.Sample(1, "p", at(0), pos(1, 10))
 	b.Seen("r", pos(1, 10))
 	_, ok := b.Floor(at(100), time.Second)
@@ -60,7 +60,7 @@
 // positions of its own log that no other target holds. Accepted as a replica's positions, they
 // proved its own samples, and a read missed a commit.
 func TestSupersededPrimaryIsNoWitnessForItself(t *testing.T) {
-	b := &Board{}
+	b := &Tracker{}
 	b.Sample(1, "p", at(0), pos(1, 10))
 	b.Seen("p", pos(1, 12))
 	b.Witness(1, "p", at(50))
@@ -70,7 +70,7 @@
 }
 
 func TestLaterTermDiscardsEvidence(t *testing.T) {
-	b := &Board{}
+	b := &Tracker{}
 	b.Sample(1, "p", at(0), pos(1, 10))
 	b.Witness(1, "r", at(50))
 	b.Sample(2, "r", at(100), pos(2, 9))
@@ -83,7 +83,7 @@
 // Floor returns the oldest position that still proves the age, since lagging replicas are the most
 // likely to hold it.
 func TestFloorIsTheOldestThatProvesTheAge(t *testing.T) {
-	b := &Board{}
+	b := &Tracker{}
 	for i := range 10 {
 		b.Sample(1, "p", at(i*100), pos(1, 10+i))
 	}
@@ -94,9 +94,9 @@
 }
 
 func TestMergedProofsAreOrdered(t *testing.T) {
-	b := &Board{}
+	b := &Tracker{}
 	b.Sample(1, "p", at(500), pos(1, 20))
-	b.Relay(Proof{Term: 1, Leader: "p", At: at(300), Position: pos(1, 15)})
+	b.MergeProof(Proof{Term: 1, Leader: "p", At: at(300), Position: pos(1, 15)})
 	p, ok := b.Floor(at(1000), 2*time.Second)
 	require.True(t, ok)
 	require.Equal(t, pos(1, 15), p)
@@ -105,9 +105,9 @@
 }
 
 func TestSamplesAreBounded(t *testing.T) {
-	b := &Board{}
+	b := &Tracker{}
 	for i := range 500 {
-		b.Relay(Proof{Term: 1, Leader: "p", At: at(i * 60), Position: pos(1, i+1)})
+		b.MergeProof(Proof{Term: 1, Leader: "p", At: at(i * 60), Position: pos(1, i+1)})
 		b.Sample(1, "p", at(i*60+55), pos(1, i+1))
 	}
 	require.LessOrEqual(t, len(b.samples), maxSamples+1)
@@ -116,21 +116,21 @@
 // The primary restarts with an empty log. A read that must see everything requires the position
 // that the primary has reported in its term, so that it is not answered from the empty log.
 func TestLastPositionOfLeader(t *testing.T) {
-	b := &Board{}
-	require.True(t, b.Stood(1, "p").IsZero())
+	b := &Tracker{}
+	require.True(t, b.LastPosition(1, "p").IsZero())
 	b.Sample(1, "p", at(0), pos(1, 10))
 	b.Sample(1, "p", at(100), pos(1, 12))
-	require.Equal(t, pos(1, 12), b.Stood(1, "p"))
-	require.True(t, b.Stood(1, "q").IsZero(), "another target has reported nothing")
+	require.Equal(t, pos(1, 12), b.LastPosition(1, "p"))
+	require.True(t, b.LastPosition(1, "q").IsZero(), "another target has reported nothing")
 	b.Sample(2, "q", at(200), pos(1, 11))
-	require.True(t, b.Stood(1, "p").IsZero(), "a position of a discarded branch is not required")
-	require.Equal(t, pos(1, 11), b.Stood(2, "q"))
+	require.True(t, b.LastPosition(1, "p").IsZero(), "a position of a discarded branch is not required")
+	require.Equal(t, pos(1, 11), b.LastPosition(2, "q"))
 }
 
 // A read needs a sample, and the primary was queried recently: the sample counts only for its own
 // term.
 func TestSampledIsOfTheTerm(t *testing.T) {
-	b := &Board{}
+	b := &Tracker{}
 	require.Zero(t, b.Sampled(0))
 	b.Sample(3, "p", at(100), pos(3, 7))
 	b.Sample(3, "p", at(200), pos(3, 8))
--- a/groups/acknowledged.go
+++ b/groups/acknowledged.go
@@ -25,7 +25,7 @@
 }
 
 // RecordPosition records a position from a reply of the primary.
-func (a *Acknowledged) Told(p timeline.Position) {
+func (a *Acknowledged) RecordPosition(p timeline.Position) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.known = timeline.Later(a.known, p)
--- a/groups/acknowledged_test.go
+++ b/groups/acknowledged_test.go
@@ -18,7 +18,7 @@
 // could not be promoted.
 func TestBoundExcludesUnacknowledgedCommits(t *testing.T) {
 	var a Acknowledged
-	a.Told(at(1, 100))
+	a.RecordPosition(at(1, 100))
 	before := a.Before()
 	a.Commit(before, at(1, 140))
 	require.Equal(t, at(1, 101), a.Bound())
@@ -26,7 +26,7 @@
 
 func TestBoundDoesNotCrossTerms(t *testing.T) {
 	var a Acknowledged
-	a.Told(at(1, 500))
+	a.RecordPosition(at(1, 500))
 	a.Commit(a.Before(), at(2, 481))
 	require.True(t, a.Bound().IsZero(), "500 belongs to a discarded branch")
 	a.Raise(at(2, 490))
@@ -50,7 +50,7 @@
 				a.Commit(before, at(1, log))
 				highest = max(highest, own)
 			}
-			a.Told(at(1, log))
+			a.RecordPosition(at(1, log))
 			require.LessOrEqual(t, int(a.Bound().LSN), highest)
 		}
 	})
--- a/groups/group.go
+++ b/groups/group.go
@@ -42,15 +42,15 @@
 	// Service is the service's name.
 	Service string
 	// Leadership tracks which target is the primary.
-	Leadership *leadership.Board
+	Leadership *leadership.Tracker
 	// Freshness holds the evidence for reads.
-	Freshness *freshness.Board
+	Freshness *freshness.Tracker
 	// Acknowledged is the position that a new primary must hold.
 	Acknowledged Acknowledged
 	// Health tracks whether the primary answers.
 	Health Health
 	// LateReads tracks late reads at the primary.
-	Crowd Crowd
+	LateReads LateReads
 	// Breaker decides whether requests should wait for the primary.
 	Breaker Breaker
 
@@ -60,7 +60,7 @@
 	used atomic.Int64 // clock.Time of the latest request for the service
 
 	mu               sync.Mutex
-	state            leadership.Belief
+	state            leadership.State
 	changed          chan struct{}
 	absentSince      clock.Time // since when no primary is known; 0 if one is
 	discoveredAt     clock.Time
@@ -79,8 +79,8 @@
 func newGroup(service string, cfg *Config) *Group {
 	return &Group{
 		Service:     service,
-		Leadership:  leadership.NewBoard(),
-		Freshness:   &freshness.Board{},
+		Leadership:  leadership.NewTracker(),
+		Freshness:   &freshness.Tracker{},
 		cfg:         cfg,
 		slot:        int(xxhash.Sum64String(service) % Ticks),
 		absentSince: cfg.Clock.Now(),
@@ -119,7 +119,7 @@
 	for _, t := range g.recordIncarnations(targets, c.TargetsRevision) {
 		g.cfg.Log.Info("target-reborn", zap.String("service", g.Service), zap.String("target", string(t.ID)),
 			zap.Int64("incarnation", t.Incarnation), zap.Int64("revision", c.TargetsRevision))
-		g.Leadership.Reborn(t.ID)
+		g.Leadership.RecordRestart(t.ID)
 	}
 	g.Leadership.Listed(targets, c.LeadershipRecords[g.Service])
 	g.updateState()
@@ -146,11 +146,11 @@
 //
 // Failure guarded against: a draining primary that cannot be replaced is given work until the
 // moment it is removed. Once DrainTimeout has passed, consumers are refused instead.
-func (g *Group) MayWork(id target.ID) bool {
+func (g *Group) AcceptsWork(id target.ID) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	since := g.drainingSince[id]
-	return since == 0 || g.cfg.LeaveAfter <= 0 || g.cfg.Clock.Now().Sub(since) < g.cfg.LeaveAfter
+	return since == 0 || g.cfg.DrainTimeout <= 0 || g.cfg.Clock.Now().Sub(since) < g.cfg.DrainTimeout
 }
 
 // updateState takes the current state from Leadership and, if it has changed, wakes the requests
@@ -158,7 +158,7 @@
 func (g *Group) updateState() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now := g.Leadership.Believed()
+	now := g.Leadership.Current()
 	if now == g.state {
 		return
 	}
@@ -193,23 +193,23 @@
 }
 
 // RecordStatus records a target's status.
-func (g *Group) Told(id target.ID, s statement.Status) {
-	g.Leadership.Told(id, s.Role, s.Term)
+func (g *Group) RecordStatus(id target.ID, s statement.Status) {
+	g.Leadership.RecordStatus(id, s.Role, s.Term)
 	g.updateState()
 }
 
 // RecordCachedStatus records a status that a target reported some time ago, to this VM or another.
-func (g *Group) Heard(id target.ID, role target.Role, term timeline.Term) {
-	g.Leadership.Heard(id, role, term)
+func (g *Group) RecordCachedStatus(id target.ID, role target.Role, term timeline.Term) {
+	g.Leadership.RecordCachedStatus(id, role, term)
 	g.updateState()
 }
 
 // MergeProof merges another VM's proof, and the position that new primaries must hold.
-func (g *Group) Hear(p freshness.Proof, acknowledged timeline.Position) {
-	g.Freshness.Relay(p)
-	g.Acknowledged.Told(p.Position)
+func (g *Group) MergeProof(p freshness.Proof, acknowledged timeline.Position) {
+	g.Freshness.MergeProof(p)
+	g.Acknowledged.RecordPosition(p.Position)
 	g.Acknowledged.Raise(acknowledged)
-	g.Heard(p.Leader, target.RolePrimary, p.Term)
+	g.RecordCachedStatus(p.Leader, target.RolePrimary, p.Term)
 }
 
 // Refused records that a target does not lead any more.
@@ -229,11 +229,11 @@
 // is older than the call does not show that the target is alive.
 func (g *Group) Recent(ctx context.Context, id target.ID, reason spending.Reason, maxAge, timeout time.Duration) (statement.Status, clock.Time, error) {
 	sent := g.cfg.Clock.Now()
-	rows, age, err := g.cfg.Asker.Recent(ctx, id, maxAge, timeout)
+	rows, age, err := g.cfg.Control.Recent(ctx, id, maxAge, timeout)
 	if age > 0 && err == nil {
 		s, err := g.decode(id, rows)
 		if err == nil {
-			g.Heard(id, s.Role, s.Term)
+			g.RecordCachedStatus(id, s.Role, s.Term)
 			g.observe(id, s, sent.Add(-age))
 		}
 		return s, sent.Add(-age), err
@@ -243,16 +243,16 @@
 }
 
 // SendCommand sends a target a command that is answered with its status, and records the reply.
-func (g *Group) Order(ctx context.Context, id target.ID, cmd lane.Command, timeout time.Duration) (statement.Status, error) {
+func (g *Group) SendCommand(ctx context.Context, id target.ID, cmd lane.Command, timeout time.Duration) (statement.Status, error) {
 	sent := g.cfg.Clock.Now()
-	rows, err := g.cfg.Asker.Control(ctx, id, cmd, timeout)
+	rows, err := g.cfg.Control.Control(ctx, id, cmd, timeout)
 	return g.handleReply(id, rows, spending.Change, sent, err)
 }
 
 // handleReply records a target's own reply to a status query or command.
 func (g *Group) handleReply(id target.ID, rows []string, reason spending.Reason, sent clock.Time, err error) (statement.Status, error) {
-	if g.cfg.Asked != nil {
-		g.cfg.Asked(reason)
+	if g.cfg.OnCommand != nil {
+		g.cfg.OnCommand(reason)
 	}
 	if lane.Answered(err) {
 		g.Health.Answered(id)
@@ -265,7 +265,7 @@
 		return s, err
 	}
 	g.Health.Answered(id)
-	g.Told(id, s)
+	g.RecordStatus(id, s)
 	g.observe(id, s, sent)
 	return s, nil
 }
@@ -283,20 +283,20 @@
 		g.Freshness.Sample(s.Term, id, sent, s.Received)
 		return
 	}
-	if s.Role == target.RoleReplica && s.Paused == 0 && g.Vouches(id) {
+	if s.Role == target.RoleReplica && s.Paused == 0 && g.CanWitness(id) {
 		g.Freshness.Witness(s.Term, id, sent)
 	}
 }
 
 // Primary returns the target that leads, and waits until one is known. The term is never 0: a claim
 // is verified before it is used.
-func (g *Group) Primary(ctx context.Context) (leadership.Belief, error) {
+func (g *Group) Primary(ctx context.Context) (leadership.State, error) {
 	for {
 		g.mu.Lock()
 		changed := g.changed
 		g.mu.Unlock()
-		b := g.Leadership.Believed()
-		if b.Primary != "" && b.Term != 0 && !g.Deposing(b.Primary) && g.MayWork(b.Primary) {
+		b := g.Leadership.Current()
+		if b.Primary != "" && b.Term != 0 && !g.BeingReplaced(b.Primary) && g.AcceptsWork(b.Primary) {
 			return b, nil
 		}
 		g.discoverIfDue()
@@ -345,18 +345,18 @@
 // Failure guarded against: every VM of a large fleet queries all targets of each service on its
 // first use, as when the fleet starts, although no other target claims to lead.
 func (g *Group) discover(first bool) {
-	if b := g.Leadership.Believed(); first && b.Primary != "" && b.Term == 0 && !b.Contested {
-		go g.Ask(context.Background(), b.Primary, spending.Discovery, maxTermAge, statusTimeout)
+	if b := g.Leadership.Current(); first && b.Primary != "" && b.Term == 0 && !b.Contested {
+		go g.Probe(context.Background(), b.Primary, spending.Discovery, maxTermAge, statusTimeout)
 		return
 	}
 	for _, t := range g.cfg.Catalog.Load().ByService[g.Service] {
-		go g.Ask(context.Background(), t.ID, spending.Discovery, discoverInterval, statusTimeout)
+		go g.Probe(context.Background(), t.ID, spending.Discovery, discoverInterval, statusTimeout)
 	}
 }
 
 // Probe queries a target for its status, which may be maxAge old, and records a missing reply as a
 // failure that began when the query was sent.
-func (g *Group) Ask(ctx context.Context, id target.ID, reason spending.Reason, maxAge, timeout time.Duration) {
+func (g *Group) Probe(ctx context.Context, id target.ID, reason spending.Reason, maxAge, timeout time.Duration) {
 	sent := g.cfg.Clock.Now()
 	_, _, err := g.Recent(ctx, id, reason, maxAge, timeout)
 	if err == nil || lane.Answered(err) {
--- a/groups/health.go
+++ b/groups/health.go
@@ -165,30 +165,30 @@
 }
 
 // Symptoms is what Health has observed.
-type Signs struct {
+type Symptoms struct {
 	// Unresponsive is how long the target has failed to answer.
-	Silent time.Duration
+	Unresponsive time.Duration
 	// Refusals counts the connections refused in that time.
 	Refusals int
 	// Unanswered is how long statements have waited with none answered.
-	Quiet time.Duration
+	Unanswered time.Duration
 	// Stalled is how long writes have waited with none answered.
 	Stalled time.Duration
 }
 
 // Symptoms returns what was observed of the target.
-func (h *Health) Signs(id target.ID, now clock.Time) Signs {
+func (h *Health) Symptoms(id target.ID, now clock.Time) Symptoms {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if id != h.primary {
-		return Signs{}
+		return Symptoms{}
 	}
-	s := Signs{Refusals: h.refusals}
+	s := Symptoms{Refusals: h.refusals}
 	if h.failingSince != 0 {
-		s.Silent = now.Sub(h.failingSince)
+		s.Unresponsive = now.Sub(h.failingSince)
 	}
 	if h.waiting > 0 {
-		s.Quiet = now.Sub(h.unansweredSince)
+		s.Unanswered = now.Sub(h.unansweredSince)
 	}
 	if h.stalledSince != 0 {
 		s.Stalled = now.Sub(h.stalledSince)
--- a/groups/health_test.go
+++ b/groups/health_test.go
@@ -17,11 +17,11 @@
 	h.Failed("p", ms(100), true)
 	h.Failed("p", ms(200), true)
 	h.Failed("other", ms(0), true)
-	s := h.Signs("p", ms(400))
-	require.Equal(t, 300*time.Millisecond, s.Silent)
+	s := h.Symptoms("p", ms(400))
+	require.Equal(t, 300*time.Millisecond, s.Unresponsive)
 	require.Equal(t, 2, s.Refusals)
 	h.Answered("p")
-	require.Equal(t, Signs{}, h.Signs("p", ms(500)))
+	require.Equal(t, Symptoms{}, h.Symptoms("p", ms(500)))
 }
 
 // A primary that is cut off from its replicas answers reads and status queries, and leaves every
@@ -33,9 +33,9 @@
 	for i := range 5 {
 		h.Sent("p", ms(100*i), false)(ms(100*i+10), true)
 	}
-	require.Equal(t, 700*time.Millisecond, h.Signs("p", ms(700)).Stalled)
+	require.Equal(t, 700*time.Millisecond, h.Symptoms("p", ms(700)).Stalled)
 	h.Sent("p", ms(700), true)(ms(720), true)
-	require.Less(t, h.Signs("p", ms(800)).Stalled, 100*time.Millisecond, "an acknowledged write shows that others may be acknowledged")
+	require.Less(t, h.Symptoms("p", ms(800)).Stalled, 100*time.Millisecond, "an acknowledged write shows that others may be acknowledged")
 }
 
 // This VM was suspended for seconds. Nothing was answered meanwhile, which does not show a fault of
@@ -46,9 +46,9 @@
 	h.Sent("p", ms(0), true)
 	h.Failed("p", ms(10), false)
 	h.Reset(ms(5000))
-	s := h.Signs("p", ms(5001))
-	require.Zero(t, s.Silent)
-	require.Less(t, s.Quiet, 10*time.Millisecond)
+	s := h.Symptoms("p", ms(5001))
+	require.Zero(t, s.Unresponsive)
+	require.Less(t, s.Unanswered, 10*time.Millisecond)
 	require.Less(t, s.Stalled, 10*time.Millisecond)
 }
 
@@ -59,7 +59,7 @@
 	h.Failed("p", ms(10), false)
 	h.Watch("q")
 	ended(ms(20), false)
-	require.Equal(t, Signs{}, h.Signs("q", ms(1000)))
+	require.Equal(t, Symptoms{}, h.Symptoms("q", ms(1000)))
 }
 
 // Writes that arrive once another one has been unanswered for HoldAfter are held until that one has
--- a/groups/incarnations.go
+++ b/groups/incarnations.go
@@ -43,7 +43,7 @@
 // report of a restarted target counts only once this VM has all records of attempts up to the
 // revision at which the new incarnation was listed, and none of them is open or has made another
 // target the primary. An attempt that is recorded later pauses the new incarnation.
-func (g *Group) Vouches(id target.ID) bool {
+func (g *Group) CanWitness(id target.ID) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	known := g.incarnations[id]
--- a/groups/incarnations_test.go
+++ b/groups/incarnations_test.go
@@ -30,19 +30,19 @@
 	r := NewRegistry(Config{Catalog: h, Clock: &manual{now: 1}, Log: zap.NewNop()})
 	r.Update(listing(h, 7, 10))
 	g := r.Group("s")
-	require.True(t, g.Vouches("r"), "only one incarnation of it is known")
+	require.True(t, g.CanWitness("r"), "only one incarnation of it is known")
 
 	r.Update(listing(h, 8, 20))
-	require.False(t, g.Vouches("r"))
-	require.True(t, g.Vouches("p"))
+	require.False(t, g.CanWitness("r"))
+	require.True(t, g.CanWitness("p"))
 	h.SetFleet(nil, nil, 19)
-	require.False(t, g.Vouches("r"), "the known records are older than its entry")
+	require.False(t, g.CanWitness("r"), "the known records are older than its entry")
 	h.SetFleet(nil, map[string]*catalog.LeadershipRecord{"s": {Service: "s", Revision: 15, Attempt: &catalog.Attempt{Deposed: "p"}}}, 21)
-	require.False(t, g.Vouches("r"), "it may have been paused for the open attempt")
+	require.False(t, g.CanWitness("r"), "it may have been paused for the open attempt")
 	h.SetFleet(nil, map[string]*catalog.LeadershipRecord{"s": {Service: "s", Revision: 22, Primary: "q"}}, 22)
-	require.False(t, g.Vouches("r"), "another target leads")
+	require.False(t, g.CanWitness("r"), "another target leads")
 	h.SetFleet(nil, map[string]*catalog.LeadershipRecord{"s": {Service: "s", Revision: 23, Primary: "p"}}, 23)
-	require.True(t, g.Vouches("r"))
+	require.True(t, g.CanWitness("r"))
 }
 
 // A primary restarts with an empty log under its id, and its entry changes only in its incarnation.
@@ -52,11 +52,11 @@
 	r := NewRegistry(Config{Catalog: h, Clock: &manual{now: 1}, Log: zap.NewNop()})
 	r.Update(listing(h, 7, 10))
 	g := r.Group("s")
-	g.Leadership.Told("p", target.RolePrimary, 4)
-	require.EqualValues(t, 4, g.Leadership.Believed().Term)
+	g.Leadership.RecordStatus("p", target.RolePrimary, 4)
+	require.EqualValues(t, 4, g.Leadership.Current().Term)
 	h.SetTargets(map[target.ID]*catalog.Target{"p": {ID: "p", Service: "s", Role: target.RolePrimary, Incarnation: 2}}, 11)
 	r.Update(h.Load())
-	require.Zero(t, g.Leadership.Believed().Term)
+	require.Zero(t, g.Leadership.Current().Term)
 	require.EqualValues(t, 4, g.Leadership.Highest(), "terms only grow")
 }
 
--- a/groups/latereads.go
+++ b/groups/latereads.go
@@ -13,21 +13,21 @@
 
 // LateReads measures how long bounded-staleness reads have been served too late by the primary,
 // because no replica holds the data that they must see. It is safe for concurrent use.
-type Crowd struct {
+type LateReads struct {
 	mu   sync.Mutex
 	late eventRun
 }
 
 // Record records that a bounded-staleness read that only the primary could serve was late or was
 // not served.
-func (c *Crowd) Late(now clock.Time) {
+func (c *LateReads) Record(now clock.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.late.record(now, lateReadGap)
 }
 
 // Duration returns how long the present run of late reads has lasted; 0 if there is none.
-func (c *Crowd) For(now clock.Time) time.Duration {
+func (c *LateReads) Duration(now clock.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.late.duration(now, lateReadGap)
--- a/groups/latereads_test.go
+++ b/groups/latereads_test.go
@@ -11,16 +11,16 @@
 
 // Reads are late repeatedly for some time. A single late read long after that begins a new run.
 func TestLateReadsDuration(t *testing.T) {
-	var c Crowd
+	var c LateReads
 	start := clock.Time(time.Hour)
-	require.Zero(t, c.For(start))
+	require.Zero(t, c.Duration(start))
 	for i := range 5 {
-		c.Late(start.Add(time.Duration(i) * lateReadGap))
+		c.Record(start.Add(time.Duration(i) * lateReadGap))
 	}
 	end := start.Add(4 * lateReadGap)
-	require.Equal(t, 4*lateReadGap, c.For(end))
-	require.Equal(t, 5*lateReadGap, c.For(end.Add(lateReadGap)))
-	require.Zero(t, c.For(end.Add(lateReadGap+1)))
-	c.Late(end.Add(2 * lateReadGap))
-	require.Zero(t, c.For(end.Add(2*lateReadGap)))
+	require.Equal(t, 4*lateReadGap, c.Duration(end))
+	require.Equal(t, 5*lateReadGap, c.Duration(end.Add(lateReadGap)))
+	require.Zero(t, c.Duration(end.Add(lateReadGap+1)))
+	c.Record(end.Add(2 * lateReadGap))
+	require.Zero(t, c.Duration(end.Add(2*lateReadGap)))
 }
--- a/groups/registry.go
+++ b/groups/registry.go
@@ -37,7 +37,7 @@
 
 // ControlClient sends a target the fleet's own status queries and commands and returns the rows of
 // the reply, as lane.Pool does.
-type Asker interface {
+type ControlClient interface {
 	Control(ctx context.Context, id target.ID, cmd lane.Command, timeout time.Duration) ([]string, error)
 	// Recent returns a status of a target that any VM has queried at most maxAge before the call,
 	// and how long before the call: 0 if the query was sent after the call.
@@ -48,7 +48,7 @@
 type Config struct {
 	Catalog *catalog.Holder
 	// Control sends status queries and commands to targets.
-	Asker   Asker
+	Control ControlClient
 	Clock   clock.Clock
 	Decode  Decoder
 	Records Records
@@ -56,9 +56,9 @@
 	// asks VMs to give up their permissions.
 	Eligible func() bool
 	// OnCommand is called for each status query or command sent to a target, unless it is nil.
-	Asked func(reason spending.Reason)
+	OnCommand func(reason spending.Reason)
 	// DrainTimeout is how long a draining target may still be given work; zero means without limit.
-	LeaveAfter time.Duration
+	DrainTimeout time.Duration
 	// Era returns the latest known era of the store; nil means that it has only one.
 	Era func() int64
 	Log *zap.Logger
@@ -114,7 +114,7 @@
 )
 
 // AllUsed reports whether there are so few services that all of them count as used.
-func (r *Registry) Few() bool {
+func (r *Registry) AllUsed() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return len(r.groups) <= allUsedLimit
--- a/groups/registry_test.go
+++ b/groups/registry_test.go
@@ -66,10 +66,10 @@
 // request.
 func TestAFewServicesAllCountAsUsed(t *testing.T) {
 	r, _ := registryOf(allUsedLimit)
-	require.True(t, r.Few())
+	require.True(t, r.AllUsed())
 	require.Len(t, r.Used(), allUsedLimit)
 	require.Len(t, r.Due(3), allUsedLimit)
 	r.Group("one more")
-	require.False(t, r.Few())
+	require.False(t, r.AllUsed())
 	require.Empty(t, r.Used())
 }
--- a/groups/witness.go
+++ b/groups/witness.go
@@ -53,14 +53,14 @@
 // one proves it, since a promotion pauses all of them first. If no replica can prove it, as when
 // the other targets are dead or receive nothing, the store is read: every promotion is recorded
 // there before it begins.
-func (g *Group) Witness(ctx context.Context, b leadership.Belief, first int) error {
+func (g *Group) Witness(ctx context.Context, b leadership.State, first int) error {
 	return g.witnessSince(ctx, b, first, g.cfg.Clock.Now())
 }
 
 // Prove proves that the current primary had not been replaced when a request arrived. If this VM
 // may have a permission, a witness that was queried before the arrival, within Permission, proves
 // it as well, whichever VM has sent the query.
-func (g *Group) Prove(ctx context.Context, b leadership.Belief, first int, arrived clock.Time) error {
+func (g *Group) Prove(ctx context.Context, b leadership.State, first int, arrived clock.Time) error {
 	if g.Permitted(b, arrived) {
 		return nil
 	}
@@ -81,7 +81,7 @@
 // on the other, or are unresponsive for another reason. Queried one after the other they delay each
 // exact read for longer than its consumer waits. So the next source is tried in parallel with one
 // that takes long.
-func (g *Group) witnessSince(ctx context.Context, b leadership.Belief, first int, since clock.Time) error {
+func (g *Group) witnessSince(ctx context.Context, b leadership.State, first int, since clock.Time) error {
 	if g.Freshness.WitnessedSince(b.Term, since) {
 		return nil
 	}
@@ -125,7 +125,7 @@
 }
 
 // proofSources returns the sources of a proof, the replicas in the order in which they are queried.
-func (g *Group) proofSources(b leadership.Belief, first int, since clock.Time) (replicas []proofSource, record proofSource) {
+func (g *Group) proofSources(b leadership.State, first int, since clock.Time) (replicas []proofSource, record proofSource) {
 	all := g.Replicas(b.Primary)
 	for i := range all {
 		id := all[(first+i)%len(all)].ID
@@ -135,8 +135,8 @@
 }
 
 // witnessByReplica queries one replica as the witness.
-func (g *Group) witnessByReplica(ctx context.Context, b leadership.Belief, id target.ID, since clock.Time) error {
-	canWitness := g.Vouches(id)
+func (g *Group) witnessByReplica(ctx context.Context, b leadership.State, id target.ID, since clock.Time) error {
+	canWitness := g.CanWitness(id)
 	maxAge := max(g.cfg.Clock.Now().Sub(since), 0)
 	s, _, err := g.Recent(ctx, id, spending.Witness, maxAge, statusTimeout)
 	switch {
@@ -159,7 +159,7 @@
 // no target before every VM on the fleet's list has given up its permission, or Permission has
 // passed since the last target was paused, and a VM that is not certainly on the list has no
 // permission.
-func (g *Group) Permitted(b leadership.Belief, arrived clock.Time) bool {
+func (g *Group) Permitted(b leadership.State, arrived clock.Time) bool {
 	if !g.cfg.Eligible() || g.hasRevoked() {
 		return false
 	}
@@ -175,7 +175,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	ended := r != nil && endedSince(r, g.revokedRevision)
-	return g.revokedRevision != 0 && !ended && g.cfg.Clock.Now().Sub(g.revokedAt) < takeover.Lapse
+	return g.revokedRevision != 0 && !ended && g.cfg.Clock.Now().Sub(g.revokedAt) < takeover.ExpireAfter
 }
 
 // endedSince reports whether a record shows that the attempt of a revision has ended. A record of a
@@ -198,19 +198,19 @@
 // BeingReplaced reports whether a primary is being replaced, as the holder of the attempt has
 // reported to this VM. Nothing new is sent to that primary meanwhile, and nothing that it confirms
 // is acknowledged.
-func (g *Group) Deposing(id target.ID) bool {
+func (g *Group) BeingReplaced(id target.ID) bool {
 	r := g.cfg.Catalog.Load().LeadershipRecords[g.Service]
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	ended := r != nil && r.Attempt == nil && endedSince(r, g.revokedRevision)
-	return id != "" && id == g.replaced && !ended && g.cfg.Clock.Now().Sub(g.revokedAt) < takeover.Lapse
+	return id != "" && id == g.replaced && !ended && g.cfg.Clock.Now().Sub(g.revokedAt) < takeover.ExpireAfter
 }
 
 // witnessByRecord reads the store's record as the proof for Witness.
 //
 // Failure guarded against: the store is restored from a copy made before a primary was replaced,
 // and its record shows no change. A record counts only in the era in which it was written.
-func (g *Group) witnessByRecord(ctx context.Context, b leadership.Belief) error {
+func (g *Group) witnessByRecord(ctx context.Context, b leadership.State) error {
 	queried := g.cfg.Clock.Now()
 	if g.knownSuperseded(b, queried) {
 		return ErrSuperseded
@@ -243,7 +243,7 @@
 
 // superseded is a state that the store's record has contradicted.
 type superseded struct {
-	state leadership.Belief
+	state leadership.State
 	until clock.Time
 }
 
@@ -251,13 +251,13 @@
 //
 // Failure guarded against: a VM that does not reach the new primary uses the old one, which still
 // answers, and reads the store's record for each statement.
-func (g *Group) knownSuperseded(b leadership.Belief, now clock.Time) bool {
+func (g *Group) knownSuperseded(b leadership.State, now clock.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.superseded.state == b && now.Before(g.superseded.until)
 }
 
-func (g *Group) recordSuperseded(b leadership.Belief, now clock.Time, replaced bool) {
+func (g *Group) recordSuperseded(b leadership.State, now clock.Time, replaced bool) {
 	ttl := replacingTTL
 	if replaced {
 		ttl = replacedTTL
@@ -287,14 +287,14 @@
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*statusTimeout)
 	defer cancel()
-	if err := g.renewWitness(ctx, g.Leadership.Believed()); err != nil {
+	if err := g.renewWitness(ctx, g.Leadership.Current()); err != nil {
 		g.cfg.Log.Debug("no-witness", zap.String("service", g.Service), zap.Error(err))
 	}
 }
 
 // renewWitness queries the store first while the replicas are unresponsive: many VMs use this one's
 // witness, which must not become outdated while replicas do not answer.
-func (g *Group) renewWitness(ctx context.Context, b leadership.Belief) error {
+func (g *Group) renewWitness(ctx context.Context, b leadership.State) error {
 	now := g.cfg.Clock.Now()
 	replicas, record := g.proofSources(b, int(now/clock.Time(renewRotation)), now.Add(-renewMaxAge))
 	if g.replicasUnresponsive() {
@@ -364,7 +364,7 @@
 
 // sample returns when the primary was queried for its position, and queries it unless that was at
 // most maxAge ago.
-func (g *Group) sample(ctx context.Context, b leadership.Belief, maxAge time.Duration) (clock.Time, error) {
+func (g *Group) sample(ctx context.Context, b leadership.State, maxAge time.Duration) (clock.Time, error) {
 	at := g.Freshness.Sampled(b.Term)
 	if at != 0 && g.cfg.Clock.Now().Sub(at) <= maxAge {
 		return at, nil
--- a/groups/witness_test.go
+++ b/groups/witness_test.go
@@ -86,7 +86,7 @@
 	bubble.Test(t, func(t *testing.T) {
 		a := &queriedTargets{}
 		h := catalog.NewHolder()
-		reg := NewRegistry(Config{Catalog: h, Clock: monotonic.New(), Log: zap.NewNop(), Asker: a})
+		reg := NewRegistry(Config{Catalog: h, Clock: monotonic.New(), Log: zap.NewNop(), Control: a})
 		reg.Update(listing(h, 7, 10))
 		time.Sleep(time.Second) // the daemon's clock is never 0
 		ctx, cancel := context.WithTimeout(context.Background(), discoverInterval/2)
@@ -109,16 +109,16 @@
 	clk := newAtomicClock()
 	h := catalog.NewHolder()
 	r := &record{reign: catalog.LeadershipRecord{Service: "s", Revision: 9, Primary: "new"}}
-	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Asker: unresponsiveTargets{}, Records: r, Eligible: func() bool { return false }})
+	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Control: unresponsiveTargets{}, Records: r, Eligible: func() bool { return false }})
 	reg.Update(listing(h, 7, 10))
 	g := reg.Group("s")
-	b := leadership.Belief{Primary: "p", Term: 3}
+	b := leadership.State{Primary: "p", Term: 3}
 	for range 20 {
 		require.ErrorIs(t, g.Prove(context.Background(), b, 0, clk.Now()), ErrSuperseded)
 		clk.pass(10 * time.Millisecond)
 	}
 	require.Equal(t, 1, r.read)
-	require.ErrorIs(t, g.Prove(context.Background(), leadership.Belief{Primary: "q", Term: 4}, 0, clk.Now()), ErrSuperseded)
+	require.ErrorIs(t, g.Prove(context.Background(), leadership.State{Primary: "q", Term: 4}, 0, clk.Now()), ErrSuperseded)
 	require.Equal(t, 2, r.read, "another state is looked up")
 
 	r.reign = catalog.LeadershipRecord{Service: "s", Revision: 12, Primary: "p"}
@@ -131,10 +131,10 @@
 	clk := newAtomicClock()
 	h := catalog.NewHolder()
 	r := &record{reign: catalog.LeadershipRecord{Service: "s", Revision: 9, Attempt: &catalog.Attempt{Deposed: "p"}}}
-	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Asker: unresponsiveTargets{}, Records: r, Eligible: func() bool { return false }})
+	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Control: unresponsiveTargets{}, Records: r, Eligible: func() bool { return false }})
 	reg.Update(listing(h, 7, 10))
 	g := reg.Group("s")
-	b := leadership.Belief{Primary: "p", Term: 3}
+	b := leadership.State{Primary: "p", Term: 3}
 	require.ErrorIs(t, g.Prove(context.Background(), b, 0, clk.Now()), ErrSuperseded)
 	r.reign = catalog.LeadershipRecord{Service: "s", Revision: 10, Primary: "p"}
 	clk.pass(replacingTTL)
@@ -147,11 +147,11 @@
 	clk := newAtomicClock()
 	h := catalog.NewHolder()
 	r := &record{reign: catalog.LeadershipRecord{Service: "s", Revision: catalog.RevisionOf(2, 9), Era: 1, Primary: "p"}}
-	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Asker: unresponsiveTargets{}, Records: r, Eligible: func() bool { return false },
+	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Control: unresponsiveTargets{}, Records: r, Eligible: func() bool { return false },
 		Era: func() int64 { return 2 }})
 	reg.Update(listing(h, 7, 10))
 	g := reg.Group("s")
-	b := leadership.Belief{Primary: "p", Term: 3}
+	b := leadership.State{Primary: "p", Term: 3}
 	require.ErrorIs(t, g.Prove(context.Background(), b, 0, clk.Now()), ErrNoWitness)
 	r.reign = catalog.LeadershipRecord{Service: "s", Era: 1}
 	require.ErrorIs(t, g.Prove(context.Background(), b, 0, clk.Now()), ErrNoWitness, "a missing record")
@@ -169,7 +169,7 @@
 	g.Revoke(catalog.RevisionOf(1, 450), "p")
 	h.SetLeadershipRecord(&catalog.LeadershipRecord{Service: "s", Revision: catalog.RevisionOf(2, 300), Primary: "p"})
 	require.True(t, g.hasRevoked())
-	require.True(t, g.Deposing("p"))
-	clk.pass(takeover.Lapse)
+	require.True(t, g.BeingReplaced("p"))
+	clk.pass(takeover.ExpireAfter)
 	require.False(t, g.hasRevoked())
 }
--- a/internal/experiment/capacity/edge.go
+++ b/internal/experiment/capacity/edge.go
@@ -129,7 +129,7 @@
 	p := promoter.New(promoter.Config{Node: "vm-0001", Clock: monotonic.New(), Log: zap.NewNop(), Catalog: h, Groups: edgeGroups(edgeCatalog(n))})
 	return nanoseconds(func() {
 		for tick := range groups.Ticks {
-			p.Look(context.Background(), tick)
+			p.CheckDue(context.Background(), tick)
 		}
 	})
 }
--- a/leadership/leadership.go
+++ b/leadership/leadership.go
@@ -26,7 +26,7 @@
 }
 
 // Tracker holds one service's claims. It is safe for concurrent use.
-type Board struct {
+type Tracker struct {
 	mu       sync.Mutex
 	claims   map[target.ID]*claim
 	promoted target.ID
@@ -34,10 +34,10 @@
 }
 
 // NewTracker returns a Tracker without claims.
-func NewBoard() *Board { return &Board{claims: make(map[target.ID]*claim)} }
+func NewTracker() *Tracker { return &Tracker{claims: make(map[target.ID]*claim)} }
 
 // State is the leader that the Tracker derives from the claims.
-type Belief struct {
+type State struct {
 	// Primary is empty if no target claims to lead.
 	Primary target.ID
 	// Term is the primary's term, or 0 if it has not reported one.
@@ -48,7 +48,7 @@
 
 // Listed records the entries of the service's targets and its leadership record. A role in an entry
 // counts when it changes; until then the target's own status is more recent.
-func (b *Board) Listed(targets []*catalog.Target, record *catalog.LeadershipRecord) {
+func (b *Tracker) Listed(targets []*catalog.Target, record *catalog.LeadershipRecord) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if record != nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-func (b *Board) list(t *catalog.Target) {
+func (b *Tracker) list(t *catalog.Target) {
 	c := b.claims[t.ID]
 	if c == nil {
 		c = &claim{}
@@ -83,14 +83,14 @@
 
 // RecordRestart discards what a target reported before it restarted: it does not lead any more, and
 // the role in its entry counts again.
-func (b *Board) Reborn(id target.ID) {
+func (b *Tracker) RecordRestart(id target.ID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.claims, id)
 }
 
 // RecordStatus records a target's own status.
-func (b *Board) Told(id target.ID, role target.Role, term timeline.Term) {
+func (b *Tracker) RecordStatus(id target.ID, role target.Role, term timeline.Term) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.highest = max(b.highest, term)
@@ -110,7 +110,7 @@
 // log, arrives after its entry has shown the change. Treated as current it would remove the claim
 // of a new primary, or restore that of a former one, and requests would wait until the next status
 // query.
-func (b *Board) Heard(id target.ID, role target.Role, term timeline.Term) {
+func (b *Tracker) RecordCachedStatus(id target.ID, role target.Role, term timeline.Term) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.highest = max(b.highest, term)
@@ -122,7 +122,7 @@
 }
 
 // Refused records that a target has replied that it does not lead.
-func (b *Board) Refused(id target.ID) {
+func (b *Tracker) Refused(id target.ID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if c := b.claims[id]; c != nil {
@@ -131,17 +131,17 @@
 }
 
 // Highest returns the latest term that any target has reported.
-func (b *Board) Highest() timeline.Term {
+func (b *Tracker) Highest() timeline.Term {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.highest
 }
 
 // Current returns the present state.
-func (b *Board) Believed() Belief {
+func (b *Tracker) Current() State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var best Belief
+	var best State
 	claims := 0
 	for id, c := range b.claims {
 		if c.role != target.RolePrimary {
@@ -156,7 +156,7 @@
 	return best
 }
 
-func (b *Board) better(id target.ID, term timeline.Term, than Belief) bool {
+func (b *Tracker) better(id target.ID, term timeline.Term, than State) bool {
 	if term != 0 && than.Term != 0 && term != than.Term {
 		return term > than.Term
 	}
--- a/promoter/abandoned.go
+++ b/promoter/abandoned.go
@@ -23,11 +23,11 @@
 // even if an earlier process of this VM was the holder.
 func (p *Promoter) abandoned(r *catalog.LeadershipRecord, w *serviceState, leads target.ID, now clock.Time) bool {
 	if r.Attempt == nil {
-		return outdated(r) && now.Sub(w.revisionSeen) >= takeover.Lapse
+		return outdated(r) && now.Sub(w.revisionSeen) >= takeover.ExpireAfter
 	}
 	expiry := p.expireAfter(r, w)
 	if leads == r.Attempt.Deposed {
-		expiry = takeover.Lapse
+		expiry = takeover.ExpireAfter
 	}
 	return now.Sub(w.revisionSeen) >= expiry
 }
@@ -84,7 +84,7 @@
 func (a *attempt) pausedTargets(ctx context.Context) (paused []target.ID, settled bool) {
 	s, err := a.g.Status(ctx, a.old, spending.Change, statusTimeout)
 	leader := targetStatusOf(a.old, s, err)
-	var others []takeover.Account
+	var others []takeover.TargetStatus
 	for _, t := range a.sendAll(ctx, a.others, lane.StatusCommand) {
 		o := targetStatusOf(t.id, t.status, t.err)
 		others = append(others, o)
@@ -92,12 +92,12 @@
 			paused = append(paused, o.ID)
 		}
 	}
-	return paused, takeover.Settled(leader, others, replacedTarget(a.known))
+	return paused, takeover.IsSettled(leader, others, replacedTarget(a.known))
 }
 
-func targetStatusOf(id target.ID, s statement.Status, err error) takeover.Account {
+func targetStatusOf(id target.ID, s statement.Status, err error) takeover.TargetStatus {
 	if err != nil {
-		return takeover.Account{ID: id, Silent: true}
+		return takeover.TargetStatus{ID: id, Unresponsive: true}
 	}
-	return takeover.Account{ID: id, Role: s.Role, Term: s.Term, Paused: s.Paused}
+	return takeover.TargetStatus{ID: id, Role: s.Role, Term: s.Term, Paused: s.Paused}
 }
--- a/promoter/attempt.go
+++ b/promoter/attempt.go
@@ -72,21 +72,21 @@
 )
 
 // runAttempt makes one attempt and logs its outcome.
-func (p *Promoter) runAttempt(ctx context.Context, a *attempt, b leadership.Belief, symptoms takeover.Signs) {
+func (p *Promoter) runAttempt(ctx context.Context, a *attempt, b leadership.State, symptoms takeover.Symptoms) {
 	defer p.done(a.g)
 	log := p.cfg.Log.With(zap.String("service", a.g.Service), zap.String("reason", string(a.reason)), zap.String("old", string(a.old)))
 	if a.cleansUp && (a.cleanUp(ctx, log) || a.reason == takeover.ReasonAbandoned) {
 		return
 	}
 	if err := a.feasible(ctx); err != nil {
-		log.Info("takeover-unfeasible", zap.Error(err), zap.Duration("silent", symptoms.Silent), zap.Duration("stalled", symptoms.Stalled))
+		log.Info("takeover-unfeasible", zap.Error(err), zap.Duration("silent", symptoms.Unresponsive), zap.Duration("stalled", symptoms.Stalled))
 		return
 	}
 	if err := a.record(ctx, a.old); err != nil {
 		log.Info("takeover-not-ours", zap.Error(err))
 		return
 	}
-	log.Info("takeover-begun", zap.Int64("token", a.held.Revision), zap.Duration("silent", symptoms.Silent),
+	log.Info("takeover-begun", zap.Int64("token", a.held.Revision), zap.Duration("silent", symptoms.Unresponsive),
 		zap.Int("refusals", symptoms.Refusals), zap.Duration("stalled", symptoms.Stalled), zap.Uint64("term", uint64(b.Term)))
 	chosen, err := a.run(ctx)
 	if err != nil {
@@ -199,7 +199,7 @@
 // repeated for the same target only, since the platform may have executed it.
 func (a *attempt) designate(ctx context.Context, id target.ID) error {
 	for {
-		left := takeover.Limit - a.elapsed()
+		left := takeover.CommandLimit - a.elapsed()
 		if left <= 0 {
 			return errTimeLimit
 		}
--- a/promoter/choose.go
+++ b/promoter/choose.go
@@ -21,7 +21,7 @@
 	}
 	avoided := a.avoided()
 	others := slices.DeleteFunc(slices.Clone(fenced), func(f takeover.Fenced) bool { return f.ID == avoided })
-	if len(others) >= takeover.Enough {
+	if len(others) >= takeover.RequiredFenced {
 		chosen, err := takeover.Choose(others, nil)
 		if err == nil && takeover.Holds(chosen.Received, a.g.Acknowledged.Bound()) {
 			return chosen, nil
--- a/promoter/commands.go
+++ b/promoter/commands.go
@@ -73,7 +73,7 @@
 // sendWithRetry repeats a command to a target that has no free slot.
 func (a *attempt) sendWithRetry(ctx context.Context, id target.ID, cmd lane.Command) (statement.Status, error) {
 	for try := 0; ; try++ {
-		s, err := a.g.Order(ctx, id, cmd, commandTimeout)
+		s, err := a.g.SendCommand(ctx, id, cmd, commandTimeout)
 		if err == nil || !lane.Answered(err) || try == maxBusyRetries {
 			return s, err
 		}
--- a/promoter/feasible.go
+++ b/promoter/feasible.go
@@ -32,7 +32,7 @@
 	if !a.reason.Planned() && !holds {
 		return errAcknowledgedMissing
 	}
-	if a.g.Leadership.Believed().Primary != a.old {
+	if a.g.Leadership.Current().Primary != a.old {
 		return errSuperseded
 	}
 	switch a.reason {
@@ -81,7 +81,7 @@
 	if a.reason.Planned() {
 		return 1
 	}
-	return takeover.Enough
+	return takeover.RequiredFenced
 }
 
 // successorKeepsUp checks that a target that is not draining receives what the old primary commits.
@@ -150,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	if takeover.Furthest(before, after) < 0 || takeover.Furthest(after, end.Received) >= 0 {
+	if takeover.CompareLogs(before, after) < 0 || takeover.CompareLogs(after, end.Received) >= 0 {
 		return errRecovered
 	}
 	return nil
@@ -163,7 +163,7 @@
 		if s.err != nil {
 			return out, errUnreachable
 		}
-		if takeover.Furthest(out, s.status.Received) < 0 {
+		if takeover.CompareLogs(out, s.status.Received) < 0 {
 			out = s.status.Received
 		}
 	}
--- a/promoter/fence.go
+++ b/promoter/fence.go
@@ -46,10 +46,10 @@
 	if !a.reason.Planned() {
 		// Its replicas are paused next, and commits that it has not acknowledged so far will not be
 		// acknowledged, so its reply is not awaited.
-		go func() { _, _ = a.g.Order(ctx, a.old, lane.StepDownCommand(a.term), commandTimeout) }()
+		go func() { _, _ = a.g.SendCommand(ctx, a.old, lane.StepDownCommand(a.term), commandTimeout) }()
 		return nil, nil
 	}
-	s, err := a.g.Order(ctx, a.old, lane.StepDownCommand(a.term), commandTimeout)
+	s, err := a.g.SendCommand(ctx, a.old, lane.StepDownCommand(a.term), commandTimeout)
 	if err != nil {
 		return nil, errors.WithMessage(err, "step down command to the old primary")
 	}
--- a/promoter/followup.go
+++ b/promoter/followup.go
@@ -67,12 +67,12 @@
 	}
 	switch {
 	case s.Role == target.RolePrimary && s.Term < term:
-		if g.Leadership.Believed().Primary == id {
+		if g.Leadership.Current().Primary == id {
 			return
 		}
-		_, err = g.Order(ctx, id, lane.StepDownCommand(term), commandTimeout)
+		_, err = g.SendCommand(ctx, id, lane.StepDownCommand(term), commandTimeout)
 	case s.Paused != 0:
-		_, err = g.Order(ctx, id, lane.ResumeCommand, commandTimeout)
+		_, err = g.SendCommand(ctx, id, lane.ResumeCommand, commandTimeout)
 	default:
 		p.mu.Lock()
 		delete(p.stateOf(g.Service).followUps, id)
--- a/promoter/guards_test.go
+++ b/promoter/guards_test.go
@@ -73,7 +73,7 @@
 func attemptOn(servers map[target.ID]*server) *attempt {
 	a := &controlClient{servers: servers, term: term}
 	r := groups.NewRegistry(groups.Config{
-		Catalog: catalog.NewHolder(), Asker: a, Clock: fixedClock{}, Log: zap.NewNop(),
+		Catalog: catalog.NewHolder(), Control: a, Clock: fixedClock{}, Log: zap.NewNop(),
 		Decode: func(row string) (statement.Status, error) { return servers[target.ID(row)].status, nil },
 	})
 	p := New(Config{Node: "vm1", Clock: fixedClock{}, Log: zap.NewNop(), Catalog: catalog.NewHolder(), Groups: r})
@@ -108,9 +108,9 @@
 	ended := &catalog.LeadershipRecord{Service: "s", Revision: 9, Holder: "vm2"}
 	start := clock.Time(time.Second)
 	require.True(t, p.otherAttempt(ended, w, start))
-	require.True(t, p.otherAttempt(ended, w, start.Add(takeover.Settle-1)))
-	require.False(t, p.otherAttempt(ended, w, start.Add(takeover.Settle)))
-	require.False(t, p.otherAttempt(&catalog.LeadershipRecord{Service: "s", Revision: 10, Holder: "vm1"}, w, start.Add(takeover.Settle)), "its own attempts need no settle period")
+	require.True(t, p.otherAttempt(ended, w, start.Add(takeover.SettlePeriod-1)))
+	require.False(t, p.otherAttempt(ended, w, start.Add(takeover.SettlePeriod)))
+	require.False(t, p.otherAttempt(&catalog.LeadershipRecord{Service: "s", Revision: 10, Holder: "vm1"}, w, start.Add(takeover.SettlePeriod)), "its own attempts need no settle period")
 }
 
 // The holder of an attempt dies. Others must not act while it may still send commands, and must not
@@ -121,11 +121,11 @@
 	open := &catalog.LeadershipRecord{Service: "s", Revision: 9, Holder: "vm2", Attempt: &catalog.Attempt{Holder: "vm2", Nonce: "n"}}
 	start := clock.Time(time.Second)
 	require.True(t, p.otherAttempt(open, w, start))
-	require.True(t, p.otherAttempt(open, w, start.Add(takeover.Limit)))
-	require.True(t, p.otherAttempt(open, w, start.Add(takeover.Lapse-1)))
-	require.False(t, p.otherAttempt(open, w, start.Add(takeover.Lapse)))
+	require.True(t, p.otherAttempt(open, w, start.Add(takeover.CommandLimit)))
+	require.True(t, p.otherAttempt(open, w, start.Add(takeover.ExpireAfter-1)))
+	require.False(t, p.otherAttempt(open, w, start.Add(takeover.ExpireAfter)))
 	renewed := &catalog.LeadershipRecord{Service: "s", Revision: 10, Holder: "vm3", Attempt: &catalog.Attempt{Holder: "vm3", Nonce: "m"}}
-	require.True(t, p.otherAttempt(renewed, w, start.Add(takeover.Lapse)), "the expiry of another attempt counts from its own record")
+	require.True(t, p.otherAttempt(renewed, w, start.Add(takeover.ExpireAfter)), "the expiry of another attempt counts from its own record")
 }
 
 // records is the store's leadership record of one service.
@@ -198,13 +198,13 @@
 	own := &catalog.LeadershipRecord{Service: "s", Revision: 9, Holder: "vm1", Attempt: &catalog.Attempt{Holder: "vm1", Nonce: "before", Deposed: "a"}}
 	start := clock.Time(time.Second)
 	require.True(t, p.otherAttempt(own, w, start))
-	require.False(t, p.otherAttempt(own, w, start.Add(takeover.OwnLapse)), "it may begin a new attempt")
-	require.False(t, p.abandoned(own, w, "a", start.Add(takeover.OwnLapse)))
-	require.False(t, p.abandoned(own, w, "b", start.Add(takeover.OwnLapse-1)))
-	require.True(t, p.abandoned(own, w, "b", start.Add(takeover.OwnLapse)))
-	require.True(t, p.abandoned(own, w, "a", start.Add(takeover.Lapse)))
+	require.False(t, p.otherAttempt(own, w, start.Add(takeover.OwnExpireAfter)), "it may begin a new attempt")
+	require.False(t, p.abandoned(own, w, "a", start.Add(takeover.OwnExpireAfter)))
+	require.False(t, p.abandoned(own, w, "b", start.Add(takeover.OwnExpireAfter-1)))
+	require.True(t, p.abandoned(own, w, "b", start.Add(takeover.OwnExpireAfter)))
+	require.True(t, p.abandoned(own, w, "a", start.Add(takeover.ExpireAfter)))
 	w.nonce = "before"
-	require.False(t, p.abandoned(own, w, "b", start.Add(takeover.OwnLapse)), "an attempt of this process expires like any other")
+	require.False(t, p.abandoned(own, w, "b", start.Add(takeover.OwnExpireAfter)), "an attempt of this process expires like any other")
 }
 
 // A replica was paused and restarts before any target is promoted. It has lost the pause and
--- a/promoter/promoter.go
+++ b/promoter/promoter.go
@@ -123,7 +123,7 @@
 	for n := 0; ; n++ {
 		select {
 		case <-timer.C:
-			p.Look(ctx, n)
+			p.CheckDue(ctx, n)
 		case <-ctx.Done():
 			p.running.Wait()
 			return
@@ -133,7 +133,7 @@
 
 // CheckDue evaluates the services that are due in a tick, and begins the attempts that this VM is
 // to make. It is called by one goroutine.
-func (p *Promoter) Look(ctx context.Context, n int) {
+func (p *Promoter) CheckDue(ctx context.Context, n int) {
 	now := p.cfg.Clock.Now()
 	if p.lastCheck != 0 && now.Sub(p.lastCheck) > suspendedAfter {
 		p.cfg.Log.Info("stood-still")
@@ -189,7 +189,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	w := p.stateOf(g.Service)
-	b := g.Leadership.Believed()
+	b := g.Leadership.Current()
 	if b.Primary == w.ineffective {
 		w.ineffective = ""
 	}
@@ -200,9 +200,9 @@
 	symptoms.Settled = now.Sub(w.revisionSeen)
 	if p.suspected(g, b.Primary, now) && now.Sub(w.queriedAt) >= statusInterval {
 		w.queriedAt = now
-		go g.Ask(ctx, b.Primary, spending.Suspicion, 0, statusTimeout)
+		go g.Probe(ctx, b.Primary, spending.Suspicion, 0, statusTimeout)
 	}
-	reason := takeover.Judge(symptoms)
+	reason := takeover.Diagnose(symptoms)
 	leftOpen := p.abandoned(known, w, b.Primary, now)
 	if reason == takeover.ReasonNone && leftOpen {
 		reason = takeover.ReasonAbandoned
@@ -222,21 +222,21 @@
 	go p.runAttempt(context.WithoutCancel(ctx), a, b, symptoms)
 }
 
-func (p *Promoter) symptoms(g *groups.Group, primary target.ID, now clock.Time) takeover.Signs {
-	s := takeover.Signs{Known: primary != "", Absent: g.Absent()}
+func (p *Promoter) symptoms(g *groups.Group, primary target.ID, now clock.Time) takeover.Symptoms {
+	s := takeover.Symptoms{Known: primary != "", Absent: g.Absent()}
 	if t := p.cfg.Catalog.Load().Targets[primary]; t != nil {
 		s.Draining = t.Draining
 	}
-	h := g.Health.Signs(primary, now)
-	s.Silent, s.Refusals, s.Stalled = h.Silent, h.Refusals, h.Stalled
-	s.Crowded = g.Crowd.For(now)
+	h := g.Health.Symptoms(primary, now)
+	s.Unresponsive, s.Refusals, s.Stalled = h.Unresponsive, h.Refusals, h.Stalled
+	s.ReadsLate = g.LateReads.Duration(now)
 	return s
 }
 
 // suspected reports whether the primary should be queried whether it is alive.
 func (p *Promoter) suspected(g *groups.Group, primary target.ID, now clock.Time) bool {
-	h := g.Health.Signs(primary, now)
-	return primary != "" && (h.Silent > 0 || h.Quiet > unansweredAfter)
+	h := g.Health.Symptoms(primary, now)
+	return primary != "" && (h.Unresponsive > 0 || h.Unanswered > unansweredAfter)
 }
 
 // leadershipRecord returns the service's leadership record; an empty one if there is none.
@@ -258,7 +258,7 @@
 	case r.Attempt != nil:
 		return since < p.expireAfter(r, w)
 	case r.Holder != "" && r.Holder != p.cfg.Node:
-		return since < takeover.Settle
+		return since < takeover.SettlePeriod
 	default:
 		return false
 	}
@@ -272,7 +272,7 @@
 // already received.
 func (p *Promoter) restoredRecently(now clock.Time) bool {
 	at := p.cfg.RestoredAt()
-	return at != 0 && now.Sub(at) < takeover.Settle
+	return at != 0 && now.Sub(at) < takeover.SettlePeriod
 }
 
 // expireAfter returns how long an open attempt is left to its holder.
@@ -281,13 +281,13 @@
 // own attempt to expire, as all others do, while no target leads.
 func (p *Promoter) expireAfter(r *catalog.LeadershipRecord, w *serviceState) time.Duration {
 	if r.Attempt.Holder == p.cfg.Node && r.Attempt.Nonce != w.nonce {
-		return takeover.OwnLapse
+		return takeover.OwnExpireAfter
 	}
-	return takeover.Lapse
+	return takeover.ExpireAfter
 }
 
 func (p *Promoter) staggerDelay(service string) time.Duration {
-	return takeover.Turn(service, p.cfg.Node, p.cfg.Catalog.Load().VMNames())
+	return takeover.StaggerDelay(service, p.cfg.Node, p.cfg.Catalog.Load().VMNames())
 }
 
 // done makes this VM's next attempt possible after a pause.
--- a/promoter/restore_test.go
+++ b/promoter/restore_test.go
@@ -34,9 +34,9 @@
 func TestSettlePeriodAfterStoreRestore(t *testing.T) {
 	at := clock.Time(time.Second)
 	p := New(restoredStore(2, at))
-	require.True(t, p.restoredRecently(at.Add(takeover.Settle-1)))
-	require.False(t, p.restoredRecently(at.Add(takeover.Settle)))
-	require.Greater(t, takeover.Settle, takeover.Limit, "no call of the former era is still sent")
+	require.True(t, p.restoredRecently(at.Add(takeover.SettlePeriod-1)))
+	require.False(t, p.restoredRecently(at.Add(takeover.SettlePeriod)))
+	require.Greater(t, takeover.SettlePeriod, takeover.CommandLimit, "no call of the former era is still sent")
 	require.False(t, New(restoredStore(1, 0)).restoredRecently(at), "the first era is no restore")
 }
 
@@ -65,8 +65,8 @@
 		{Service: "s", Lost: true},
 	} {
 		w := &serviceState{revision: r.Revision, revisionSeen: start}
-		require.False(t, p.abandoned(r, w, "t", start.Add(takeover.Lapse-1)))
-		require.True(t, p.abandoned(r, w, "t", start.Add(takeover.Lapse)))
+		require.False(t, p.abandoned(r, w, "t", start.Add(takeover.ExpireAfter-1)))
+		require.True(t, p.abandoned(r, w, "t", start.Add(takeover.ExpireAfter)))
 	}
 	now := &catalog.LeadershipRecord{Service: "s", Revision: catalog.RevisionOf(2, 7), Era: 2}
 	require.False(t, p.abandoned(now, &serviceState{revisionSeen: start}, "t", start.Add(time.Hour)))
--- a/relay/evidence.go
+++ b/relay/evidence.go
@@ -56,7 +56,7 @@
 // renewWitness keeps this gateway's witness recent while statements go to the primary.
 func (s *Server) renewWitness(service string, id target.ID) {
 	g := s.cfg.Groups.Group(service)
-	b := g.Leadership.Believed()
+	b := g.Leadership.Current()
 	if b.Primary != id || b.Term == 0 {
 		return
 	}
@@ -69,6 +69,6 @@
 // recordEvidence records the evidence that a reply carried.
 func recordEvidence(g *groups.Group, e *gossippb.Evidence, sent clock.Time) {
 	if e != nil {
-		g.Hear(gossip.ProofOf(e, sent))
+		g.MergeProof(gossip.ProofOf(e, sent))
 	}
 }
--- a/relay/router.go
+++ b/relay/router.go
@@ -214,7 +214,7 @@
 	c.Queue = min(c.Queue, left)
 	in.Claim = claimOf(j.Service, id, c, sent)
 	in.ProofAgeUs = proofAge(g, sent)
-	out, err := r.run(ctx, vm, g, g.Leadership.Believed(), id, in, sent, min(c.Queue+j.Answer, left))
+	out, err := r.run(ctx, vm, g, g.Leadership.Current(), id, in, sent, min(c.Queue+j.Answer, left))
 	if err != nil {
 		return nil, err
 	}
@@ -229,7 +229,7 @@
 
 // run makes the call for one statement, and records the evidence, the health of the target and the
 // acknowledged position that the reply shows.
-func (r *Router) run(ctx context.Context, vm catalog.VM, g *groups.Group, b leadership.Belief, id target.ID, in *relaypb.RunRequest, sent clock.Time, timeout time.Duration) (*outcome, error) {
+func (r *Router) run(ctx context.Context, vm catalog.VM, g *groups.Group, b leadership.State, id target.ID, in *relaypb.RunRequest, sent clock.Time, timeout time.Duration) (*outcome, error) {
 	before := g.Acknowledged.Before()
 	var out *relaypb.RunReply
 	err := r.peers.call(ctx, vm, timeout+callSlack, in.GetTransaction() == 0 && !in.GetCommits(), func(ctx context.Context, to relaypb.Relay) (err error) {
--- a/relay/statuses.go
+++ b/relay/statuses.go
@@ -110,4 +110,4 @@
 	}
 }
 
-var _ groups.Asker = ControlClient{}
+var _ groups.ControlClient = ControlClient{}
--- a/relay/statuses_test.go
+++ b/relay/statuses_test.go
@@ -120,7 +120,7 @@
 	clk := &manualClock{now: clock.Time(time.Minute)}
 	registry := registryOn(clk)
 	at := clk.now
-	registry.Group("s").Freshness.Relay(freshness.Proof{Term: 3, Leader: "p", At: at, Position: timeline.Position{Term: 3, LSN: 7}, Witnessed: at})
+	registry.Group("s").Freshness.MergeProof(freshness.Proof{Term: 3, Leader: "p", At: at, Position: timeline.Position{Term: 3, LSN: 7}, Witnessed: at})
 	s := NewServer(ServerConfig{Clock: clk, Groups: registry})
 	clk.now = clk.now.Add(20 * time.Millisecond)
 	e := s.evidence("s", 0)
--- a/relay/transaction.go
+++ b/relay/transaction.go
@@ -24,7 +24,7 @@
 type transaction struct {
 	router *Router
 	group  *groups.Group
-	state  leadership.Belief
+	state  leadership.State
 	id     target.ID
 	vm     catalog.VM
 	number uint64
@@ -50,7 +50,7 @@
 	reported := int32(unknownLoad)
 	defer func() { ended(reported) }()
 	g := r.cfg.Groups.Group(o.Service)
-	b := g.Leadership.Believed()
+	b := g.Leadership.Current()
 	left := timeLeft(ctx)
 	c.Queue = min(c.Queue, left)
 	sent := r.cfg.Clock.Now()
--- a/session/marks.go
+++ b/session/marks.go
@@ -75,7 +75,7 @@
 	if mark.Term > g.History.Last().Term {
 		return Floor{Position: mark, Source: SourceAhead}
 	}
-	kept := g.History.Kept(mark)
+	kept := g.History.Retained(mark)
 	if kept != mark {
 		return Floor{Position: kept, Source: SourceCut}
 	}
--- a/takeover/choose.go
+++ b/takeover/choose.go
@@ -12,7 +12,7 @@
 
 // LogCopies is how many targets of a service hold a log, the primary included. The platform does
 // not report this number.
-const Copies = 3
+const LogCopies = 3
 
 // RequiredFenced is how many targets other than the old primary must be paused for their logs
 // together to hold every acknowledged commit: all copies but one.
@@ -21,7 +21,7 @@
 // targets hold a commit. One of them is removed, and the other is the primary that seems
 // unresponsive, so that only the third one answers, which has not received the commit. Confirmed
 // purchases are then missing.
-const Enough = Copies - 1
+const RequiredFenced = LogCopies - 1
 
 // Fenced is a target that was paused, with the end of its log.
 type Fenced struct {
@@ -45,7 +45,7 @@
 
 // CompareLogs orders logs by what they hold, as cmp.Compare does. An empty log holds nothing,
 // whichever term its target reports.
-func Furthest(a, b timeline.Position) int {
+func CompareLogs(a, b timeline.Position) int {
 	a, b = normalizeEmpty(a), normalizeEmpty(b)
 	switch {
 	case a == b:
@@ -76,7 +76,7 @@
 		return Fenced{}, ErrNoCandidate
 	}
 	best := slices.MaxFunc(fenced, func(a, b Fenced) int {
-		if order := Furthest(a.Received, b.Received); order != 0 {
+		if order := CompareLogs(a.Received, b.Received); order != 0 {
 			return order
 		}
 		if a.Leaving != b.Leaving {
--- a/takeover/settled.go
+++ b/takeover/settled.go
@@ -6,12 +6,12 @@
 )
 
 // TargetStatus is the status report of a target.
-type Account struct {
+type TargetStatus struct {
 	ID target.ID
 	// Unresponsive is set if the target did not answer; the other fields are then unknown.
-	Silent bool
-	Role   target.Role
-	Term   timeline.Term
+	Unresponsive bool
+	Role         target.Role
+	Term         timeline.Term
 	// Paused is the term for which it was paused; 0 if it receives the primary's log.
 	Paused timeline.Term
 }
@@ -24,15 +24,15 @@
 // primary's commits, which the chosen target lacks, and they are lost. IsSettled excludes this: the
 // leader itself has answered, and no other target reports a later term. The replaced target need not
 // answer, since no attempt was to promote it.
-func Settled(leader Account, others []Account, replaced target.ID) bool {
-	if leader.Silent || leader.Role != target.RolePrimary {
+func IsSettled(leader TargetStatus, others []TargetStatus, replaced target.ID) bool {
+	if leader.Unresponsive || leader.Role != target.RolePrimary {
 		return false
 	}
 	for _, o := range others {
 		switch {
-		case o.Silent && o.ID != replaced:
+		case o.Unresponsive && o.ID != replaced:
 			return false
-		case o.Silent:
+		case o.Unresponsive:
 		case o.Role == target.RolePrimary || o.Term > leader.Term:
 			return false
 		}
--- a/takeover/takeover.go
+++ b/takeover/takeover.go
@@ -8,20 +8,20 @@
 
 const (
 	// CommandLimit is how long after it was recorded an attempt may send commands.
-	Limit = 2500 * time.Millisecond
+	CommandLimit = 2500 * time.Millisecond
 	// ExpireAfter is how long other VMs must see an attempt unchanged before they consider its
 	// holder dead. It exceeds CommandLimit by the longest time that a call may take to arrive.
-	Lapse = 5 * time.Second
+	ExpireAfter = 5 * time.Second
 	// OwnExpireAfter is the same for an attempt that an earlier process of this VM has made: that
 	// process sends no further command. Commands that it has sent must have arrived: together with
 	// the time that a process takes to restart, this leaves them as long as ExpireAfter does after
 	// CommandLimit.
-	OwnLapse = 2 * time.Second
+	OwnExpireAfter = 2 * time.Second
 	// SettlePeriod is how long after the end of another VM's attempt no new one begins. The
 	// platform lets the holder of a duty keep it for three seconds. A service that changes its
 	// primary again and again, as when each half of the fleet reaches a different target, serves no
 	// requests.
-	Settle = 3500 * time.Millisecond
+	SettlePeriod = 3500 * time.Millisecond
 	// Permission is how long after a witness was queried a VM may still assume that the primary is
 	// unchanged, without a query of its own. An attempt waits this time after its fences, unless
 	// every VM of the fleet has given up its permission. Requests of the VM itself and of its peers
@@ -30,7 +30,7 @@
 	// UnresponsiveAfter is how long a primary must have failed to answer requests and status
 	// queries. Three queries of 100 ms fit into it, and the primary works off a full queue of
 	// requests in 150 ms.
-	SilentAfter = 350 * time.Millisecond
+	UnresponsiveAfter = 350 * time.Millisecond
 	// RefusedAfter is how long a primary must have failed to answer if its address refuses
 	// connections: no process listens there, which packet loss cannot cause.
 	RefusedAfter = 80 * time.Millisecond
@@ -45,7 +45,7 @@
 	// ReadsLateAfter is how long bounded-staleness reads that only the primary can serve must have
 	// been late there. Each of them is late by about half a second, so that replicas that lag only
 	// briefly recover before. An attempt also queries the lag of all replicas.
-	CrowdedAfter = 300 * time.Millisecond
+	ReadsLateAfter = 300 * time.Millisecond
 	// FarBehind is how far every replica must then lag: a backlog of that length outlasts a change
 	// of primary, which takes about 0.5 s for writes.
 	FarBehind = 1500 * time.Millisecond
@@ -56,7 +56,7 @@
 	// the others watch: all VMs learn of a record in the store within some 10 ms. Two VMs that act
 	// at once cause a conflict in the store and nothing else, whereas a long wait for VMs that
 	// cannot act delays every consumer.
-	TurnEvery = 40 * time.Millisecond
+	StaggerInterval = 40 * time.Millisecond
 	// maxStaggerSteps bounds the delay of the last VM of a large fleet.
 	maxStaggerSteps = 8
 )
@@ -71,7 +71,7 @@
 	// ReasonLeaving: the primary is draining.
 	ReasonLeaving Reason = "leaving"
 	// ReasonUnresponsive: the primary does not answer.
-	ReasonSilent Reason = "silent"
+	ReasonUnresponsive Reason = "silent"
 	// ReasonRefusing: nothing listens at the primary's address.
 	ReasonRefusing Reason = "refusing"
 	// ReasonStalled: the primary answers, but acknowledges no write.
@@ -91,7 +91,7 @@
 func (r Reason) Planned() bool { return r == ReasonLeaving || r == ReasonBehind }
 
 // Unanswered reports whether the primary has left requests and queries unanswered.
-func (r Reason) Unanswered() bool { return r == ReasonSilent || r == ReasonRefusing }
+func (r Reason) Unanswered() bool { return r == ReasonUnresponsive || r == ReasonRefusing }
 
 // Answers reports whether the primary answers, whatever other fault the service has.
 func (r Reason) Answers() bool {
@@ -99,20 +99,20 @@
 }
 
 // Symptoms is what a VM has observed of a service's primary.
-type Signs struct {
+type Symptoms struct {
 	// Known is set if some target is considered the primary.
 	Known bool
 	// Draining is set if the primary has reported that it is draining.
 	Draining bool
 	// Unresponsive is how long the primary has failed to answer.
-	Silent time.Duration
+	Unresponsive time.Duration
 	// Refusals counts the connections refused in that time.
 	Refusals int
 	// Stalled is how long it has acknowledged no write although some are waiting.
 	Stalled time.Duration
 	// ReadsLate is how long bounded-staleness reads that no replica could serve have been late at
 	// the primary.
-	Crowded time.Duration
+	ReadsLate time.Duration
 	// Settled is how long the service's leadership record has not changed.
 	Settled time.Duration
 	// Absent is how long no target has been considered the primary.
@@ -120,21 +120,21 @@
 }
 
 // Diagnose returns why the service needs another primary, or ReasonNone.
-func Judge(s Signs) Reason {
+func Diagnose(s Symptoms) Reason {
 	switch {
 	case !s.Known && s.Absent >= AbsentAfter:
 		return ReasonAbsent
 	case !s.Known:
 		return ReasonNone
-	case s.Refusals >= RefusedTimes && s.Silent >= RefusedAfter:
+	case s.Refusals >= RefusedTimes && s.Unresponsive >= RefusedAfter:
 		return ReasonRefusing
-	case s.Silent >= SilentAfter:
-		return ReasonSilent
+	case s.Unresponsive >= UnresponsiveAfter:
+		return ReasonUnresponsive
 	case s.Draining:
 		return ReasonLeaving
 	case s.Stalled >= StalledAfter:
 		return ReasonStalled
-	case s.Crowded >= CrowdedAfter && s.Settled >= BehindEvery:
+	case s.ReadsLate >= ReadsLateAfter && s.Settled >= BehindEvery:
 		return ReasonBehind
 	default:
 		return ReasonNone
@@ -143,7 +143,7 @@
 
 // StaggerDelay is how long a VM waits before it makes a change that others may make as well. Each
 // service has its own order of VMs.
-func Turn(service, self string, vms []string) time.Duration {
+func StaggerDelay(service, self string, vms []string) time.Duration {
 	own := xxhash.Sum64String(service + "/" + self)
 	before := 0
 	for _, vm := range vms {
@@ -151,5 +151,5 @@
 			before++
 		}
 	}
-	return time.Duration(min(before, maxStaggerSteps)) * TurnEvery
+	return time.Duration(min(before, maxStaggerSteps)) * StaggerInterval
 }
--- a/takeover/takeover_test.go
+++ b/takeover/takeover_test.go
@@ -19,22 +19,22 @@
 func TestDiagnose(t *testing.T) {
 	cases := []struct {
 		name     string
-		symptoms Signs
+		symptoms Symptoms
 		want     Reason
 	}{
-		{"healthy", Signs{Known: true}, ReasonNone},
-		{"briefly slow", Signs{Known: true, Silent: 200 * time.Millisecond}, ReasonNone},
-		{"unresponsive", Signs{Known: true, Silent: SilentAfter}, ReasonSilent},
-		{"one refused connection may be a restart", Signs{Known: true, Silent: 200 * time.Millisecond, Refusals: 1}, ReasonNone},
-		{"nothing listens", Signs{Known: true, Silent: RefusedAfter, Refusals: RefusedTimes}, ReasonRefusing},
-		{"draining", Signs{Known: true, Draining: true}, ReasonLeaving},
-		{"unresponsive while draining", Signs{Known: true, Draining: true, Silent: SilentAfter}, ReasonSilent},
-		{"acknowledges nothing", Signs{Known: true, Stalled: StalledAfter}, ReasonStalled},
-		{"a claim may still arrive", Signs{Absent: time.Second}, ReasonNone},
-		{"no target claims to lead", Signs{Absent: AbsentAfter}, ReasonAbsent},
+		{"healthy", Symptoms{Known: true}, ReasonNone},
+		{"briefly slow", Symptoms{Known: true, Unresponsive: 200 * time.Millisecond}, ReasonNone},
+		{"unresponsive", Symptoms{Known: true, Unresponsive: UnresponsiveAfter}, ReasonUnresponsive},
+		{"one refused connection may be a restart", Symptoms{Known: true, Unresponsive: 200 * time.Millisecond, Refusals: 1}, ReasonNone},
+		{"nothing listens", Symptoms{Known: true, Unresponsive: RefusedAfter, Refusals: RefusedTimes}, ReasonRefusing},
+		{"draining", Symptoms{Known: true, Draining: true}, ReasonLeaving},
+		{"unresponsive while draining", Symptoms{Known: true, Draining: true, Unresponsive: UnresponsiveAfter}, ReasonUnresponsive},
+		{"acknowledges nothing", Symptoms{Known: true, Stalled: StalledAfter}, ReasonStalled},
+		{"a claim may still arrive", Symptoms{Absent: time.Second}, ReasonNone},
+		{"no target claims to lead", Symptoms{Absent: AbsentAfter}, ReasonAbsent},
 	}
 	for _, c := range cases {
-		require.Equal(t, c.want, Judge(c.symptoms), c.name)
+		require.Equal(t, c.want, Diagnose(c.symptoms), c.name)
 	}
 }
 
@@ -100,16 +100,16 @@
 	}
 	seen := make(map[time.Duration]int)
 	for _, vm := range vms {
-		seen[Turn("ledger", vm, vms)]++
+		seen[StaggerDelay("ledger", vm, vms)]++
 	}
 	require.Len(t, seen, 9)
 	require.Equal(t, 1, seen[0])
-	require.LessOrEqual(t, Turn("ledger", "other", append(vms, make([]string, 1000)...)), maxStaggerSteps*TurnEvery)
+	require.LessOrEqual(t, StaggerDelay("ledger", "other", append(vms, make([]string, 1000)...)), maxStaggerSteps*StaggerInterval)
 }
 
 // Safety depends on these relations: a command must have arrived before other VMs may act, and a
 // permission must have expired within an attempt's time.
 func TestTimeLimitsAreConsistent(t *testing.T) {
-	require.Greater(t, Lapse, Limit+2*time.Second)
-	require.Less(t, Permission, Limit/2)
+	require.Greater(t, ExpireAfter, CommandLimit+2*time.Second)
+	require.Less(t, Permission, CommandLimit/2)
 }
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -71,7 +71,7 @@
 
 // Retained returns the part of p that is retained by every later term in h: the branch beyond the
 // start of a later term was discarded. The result has p's term.
-func (h History) Kept(p Position) Position {
+func (h History) Retained(p Position) Position {
 	for _, s := range h {
 		if s.Term > p.Term && s.LSN < p.LSN {
 			p.LSN = s.LSN
@@ -81,7 +81,7 @@
 }
 
 // WasDiscarded reports whether a write at p was discarded by a later promotion.
-func (h History) WasDiscarded(p Position) bool { return h.Kept(p) != p }
+func (h History) WasDiscarded(p Position) bool { return h.Retained(p) != p }
 
 // Covers reports whether a server at position have holds everything of want that is retained. Both
 // are cut back to the latest branch before they are compared, so a superseded primary never
@@ -94,7 +94,7 @@
 	if want.Term > have.Term && !h.hasTerm(want.Term) {
 		return false
 	}
-	return h.Kept(have).LSN >= h.Kept(want).LSN
+	return h.Retained(have).LSN >= h.Retained(want).LSN
 }
 
 func (h History) hasTerm(term Term) bool {
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -14,7 +14,7 @@
 func TestPositionBeyondLaterStartWasDiscarded(t *testing.T) {
 	require.True(t, threeTerms.WasDiscarded(Position{Term: 1, LSN: 120}))
 	require.False(t, threeTerms.WasDiscarded(Position{Term: 1, LSN: 100}))
-	require.Equal(t, LSN(100), threeTerms.Kept(Position{Term: 1, LSN: 120}).LSN)
+	require.Equal(t, LSN(100), threeTerms.Retained(Position{Term: 1, LSN: 120}).LSN)
 }
 
 // A superseded primary has written on to 400 without replicas. Its log is the longest, but its
