--- a/edge/behind_test.go
+++ b/edge/behind_test.go
@@ -12,61 +12,61 @@
 	"endivemoor.example/endivemoor/takeover"
 )
 
-// browse has so many consumers read for some seconds, more than three slots can
-// serve, while a few others write. It returns what the readers were told.
-func browse(f *fleet, readers int, during time.Duration) *told {
-	written := make(chan *told)
+// runReaders has many consumers read for the given time, more than three slots can serve, while a
+// few others write. It returns the outcomes of the readers.
+func runReaders(f *fleet, readers int, during time.Duration) *outcomes {
+	written := make(chan *outcomes)
 	go func() {
-		written <- sellAtOnce(f, []string{exact}, 1, during, func(i int) []string { return []string{fmt.Sprintf("WRITE i%d x", i)} })
+		written <- runConsumers(f, []string{exact}, 1, during, func(i int) []string { return []string{fmt.Sprintf("WRITE i%d x", i)} })
 	}()
-	out := sellAtOnce(f, []string{bounded}, readers, during, func(i int) []string { return []string{fmt.Sprintf("READ i%d", i%5)} })
+	out := runConsumers(f, []string{bounded}, readers, during, func(i int) []string { return []string{fmt.Sprintf("READ i%d", i%5)} })
 	<-written
 	return out
 }
 
-// Both replicas apply what they receive seconds later than usual, and each read that
-// must not be so old comes to the primary, which can serve a third of them. The
-// targets apply all as they are promoted: another one leads, and the old primary
-// serves reads beside it. No write is lost or left in doubt by it.
+// Guards against: a primary that is not replaced although its reads are late. Both replicas apply
+// changes seconds late, so all bounded-staleness reads go to the primary, which can serve a third
+// of them. Targets apply all outstanding changes when they are promoted: after the change another
+// target leads, and the old primary serves reads too. No write is lost or left in doubt.
 func TestPrimaryIsChangedWhileAllReplicasAreFarBehind(t *testing.T) {
-	playOn(t, 3, database.Options{Slots: 1}, func(f *fleet) {
+	runFleetWith(t, 3, database.Options{Slots: 1}, func(f *fleet) {
 		f.group.SetBehind("ledger-1", 30*time.Second)
 		f.group.SetBehind("ledger-2", 30*time.Second)
-		browse(f, 60, 20*time.Second)
+		runReaders(f, 60, 20*time.Second)
 		duties := f.world.Store.Duties()
-		require.Len(t, duties, 1, "one change, and no other after it")
-		require.Equal(t, "replica", f.group.Server("ledger-0").Role(), "the old primary serves on")
-		f.fair()
+		require.Len(t, duties, 1, "want exactly one change of primary")
+		require.Equal(t, "replica", f.group.Server("ledger-0").Role(), "the old primary serves as a replica")
+		f.checkInvariants()
 	})
 }
 
-// The replicas are as far behind, but the primary can serve all that is asked. Those
-// who write are not made to wait for nothing.
+// Guards against: a needless change of primary that delays writers. The replicas are as far behind,
+// but the primary can serve all reads.
 func TestIdlePrimaryIsNotChangedForItsReplicas(t *testing.T) {
-	play(t, 3, func(f *fleet) {
+	runFleet(t, 3, func(f *fleet) {
 		f.group.SetBehind("ledger-1", 30*time.Second)
 		f.group.SetBehind("ledger-2", 30*time.Second)
-		browse(f, 2, 10*time.Second)
+		runReaders(f, 2, 10*time.Second)
 		require.Empty(t, f.world.Store.Duties())
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// One of the replicas is near. Reads go there, and the primary stays.
-func TestPrimaryStaysWhileOneReplicaIsNear(t *testing.T) {
-	playOn(t, 3, database.Options{Slots: 1}, func(f *fleet) {
+// Guards against: a change of primary although one replica is up to date and serves the reads.
+func TestPrimaryStaysWhileOneReplicaIsUpToDate(t *testing.T) {
+	runFleetWith(t, 3, database.Options{Slots: 1}, func(f *fleet) {
 		f.group.SetBehind("ledger-1", 30*time.Second)
-		browse(f, 60, 20*time.Second)
+		runReaders(f, 60, 20*time.Second)
 		require.Empty(t, f.world.Store.Duties())
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// The VM that changes a crowded primary dies in the middle of it: the old primary may
-// have stepped down already, and nobody leads. The others take over once its attempt
-// has lapsed, and no write is lost.
-func TestHolderDiesWhileItChangesACrowdedPrimary(t *testing.T) {
-	playOn(t, 3, database.Options{Slots: 1}, func(f *fleet) {
+// Guards against: a service without a primary after the VM that replaces a primary with late reads
+// dies during its attempt. The old primary may already have stepped down. Another VM takes over
+// once the attempt has expired, and no write is lost.
+func TestHolderDiesWhileItReplacesAPrimaryWithLateReads(t *testing.T) {
+	runFleetWith(t, 3, database.Options{Slots: 1}, func(f *fleet) {
 		f.group.SetBehind("ledger-1", 30*time.Second)
 		f.group.SetBehind("ledger-2", 30*time.Second)
 		go func() {
@@ -78,7 +78,7 @@
 			time.Sleep(150 * time.Millisecond)
 			f.kill(holder)
 		}()
-		browse(f, 60, 14*time.Second)
+		runReaders(f, 60, 14*time.Second)
 		time.Sleep(takeover.Lapse + 5*time.Second)
 		alive := ""
 		for name, v := range f.vms {
@@ -87,11 +87,11 @@
 			}
 		}
 		require.True(t, f.session(alive, exact).Query("WRITE after it").OK())
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// holderOf is the VM that has an attempt under way; none is empty.
+// holderOf returns the VM with an attempt under way; empty if there is none.
 func holderOf(f *fleet) string {
 	o, ok := f.world.Store.Get("endivemoor", "reign."+service)
 	if !ok || !strings.Contains(string(o.Spec), "nonce") {
--- a/edge/doc.go
+++ b/edge/doc.go
@@ -1,7 +1,9 @@
-// Package edge is the daemon that serves on the users' platform: one symmetric
-// program on every VM, with no disk and no VM set aside for control.
+// Package edge implements the daemon that runs on every VM of the users' platform and serves
+// consumers' connections.
 //
-// It wires the session engine to the platform's adapter: watches of the object
-// store feed the catalog, the catalog feeds the lanes and the groups, and
-// consumers' connections are served from there. What lasts is in the store.
+// Edge connects the session engine to the platform's adapter: watches of the object store fill the
+// catalog, and the catalog configures the lanes and the groups that serve the connections. All VMs
+// run the same program and no VM is reserved for control. The daemon uses no disk: all durable
+// state is in the object store. Begin with New and Edge.Serve; Run adds settings, signals and
+// logging.
 package edge
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -39,18 +39,18 @@
 )
 
 const (
-	// memoryPart is the part of the process's memory limit at which the
-	// collector works harder: the rest is for the runtime's own needs and for
-	// bytes that the kernel holds.
-	memoryPart = 0.6
-	// greetTimeout bounds opening a connection to a target: the way, a slot
-	// behind a full queue, and the work of accepting it, 12 ms.
-	greetTimeout = 700 * time.Millisecond
+	// memoryFraction is the fraction of the process's memory limit that is set as the garbage
+	// collector's soft limit. The remainder covers the runtime's own needs and bytes that the
+	// kernel holds.
+	memoryFraction = 0.6
+	// targetDialTimeout bounds opening a connection to a target: the network latency, a slot behind
+	// a full queue, and 12 ms of work to accept the connection.
+	targetDialTimeout = 700 * time.Millisecond
 )
 
-// Network is how a daemon reaches others and is reached.
+// Network opens and accepts the daemon's connections.
 type Network interface {
-	// Listen takes connections at ip:port.
+	// Listen accepts connections at ip:port.
 	Listen(addr string) (net.Listener, error)
 	// DialContext connects to ip:port.
 	DialContext(ctx context.Context, network, addr string) (net.Conn, error)
@@ -58,64 +58,64 @@
 
 // Edge is one running daemon.
 type Edge struct {
-	set         *boot.Settings
+	settings    *boot.Settings
 	log         *zap.Logger
 	metrics     *prometheus.Registry
-	spent       *spending.Meter
+	meter       *spending.Meter
 	clk         clock.Clock
 	net         Network
 	incarnation string
 	started     clock.Time
-	// haste is where in lookAfterSpread this VM is, from 0 to 1.
-	haste     float64
-	catalog   *catalog.Holder
-	recency   recency.Board
-	eras      *eras
-	store     *objects.Client
-	outage    outage
-	duty      *duty.Client
-	pool      *lane.Pool
-	local     *dispatch.Local
-	router    *relay.Router
-	relay     *relay.Server
-	limits    *limits
-	groups    *groups.Registry
-	placing   *placing.Board
-	counts    *engine.Metrics
-	engine    *engine.Engine
-	fleet     *fleet
-	gossip    *gossiper
-	promoter  *promoter.Promoter
-	sessions  *sessions
-	listeners []net.Listener
-	ends      ends
+	// watchJitter is this VM's position within selfWatchJitter, from 0 to 1.
+	watchJitter   float64
+	catalog       *catalog.Holder
+	recency       recency.Board
+	eras          *eras
+	store         *objects.Client
+	outage        outage
+	duty          *duty.Client
+	pool          *lane.Pool
+	local         *dispatch.Local
+	router        *relay.Router
+	relay         *relay.Server
+	limits        *limits
+	groups        *groups.Registry
+	placing       *placing.Board
+	engineMetrics *engine.Metrics
+	engine        *engine.Engine
+	fleetEntry    *fleetEntry
+	gossip        *gossiper
+	promoter      *promoter.Promoter
+	sessions      *sessions
+	listeners     []net.Listener
+	shutdown      shutdownState
 }
 
-// Options are what the command line sets.
+// Options are the options from the command line.
 type Options struct {
-	// MetricsPort on this VM's address serves /metrics; 0 serves none.
+	// MetricsPort is the port on this VM's address that serves /metrics; 0 disables it.
 	MetricsPort int
-	// LogLevel is the least level that is logged.
+	// LogLevel is the lowest level that is logged.
 	LogLevel string
 }
 
-// Run serves until SIGTERM, then ends gracefully.
+// Run serves until SIGTERM or SIGINT, then shuts down gracefully.
 func Run(ctx context.Context, opt Options) error {
-	set, err := boot.Load()
+	settings, err := boot.Load()
 	if err != nil {
 		return err
 	}
-	least, err := zapcore.ParseLevel(opt.LogLevel)
+	minLevel, err := zapcore.ParseLevel(opt.LogLevel)
 	if err != nil {
 		return errors.Wrap(err, "log level")
 	}
 	out := logging.NewBounded(os.Stdout)
 	defer out.Close()
-	log := logging.New(out, zap.NewAtomicLevelAt(least)).With(zap.String("vm", set.Node), zap.String("zone", set.Zone))
-	if set.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(set.Limits.MemoryMB<<20) * memoryPart))
+	log := logging.New(out, zap.NewAtomicLevelAt(minLevel)).With(zap.String("vm", settings.Node), zap.String("zone", settings.Zone))
+	if settings.Limits.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(float64(settings.Limits.MemoryMB<<20) * memoryFraction))
 	}
-	e := New(set, kernel{newDialer()}, boottime.Clock{}, log)
+	e := New(settings, hostNetwork{newDialer()}, boottime.Clock{}, log)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	hangup := make(chan os.Signal, 1)
@@ -123,81 +123,81 @@
 	defer signal.Stop(hangup)
 	go e.reloadOn(ctx, hangup)
 	if opt.MetricsPort > 0 {
-		go e.serveMetrics(net.JoinHostPort(set.IP, strconv.Itoa(opt.MetricsPort)))
+		go e.serveMetrics(net.JoinHostPort(settings.IP, strconv.Itoa(opt.MetricsPort)))
 	}
 	return e.Serve(ctx)
 }
 
 // New returns a daemon that is not yet serving.
-func New(set *boot.Settings, network Network, clk clock.Clock, log *zap.Logger) *Edge {
+func New(settings *boot.Settings, network Network, clk clock.Clock, log *zap.Logger) *Edge {
 	e := &Edge{
-		set:         set,
+		settings:    settings,
 		log:         log,
 		clk:         clk,
 		net:         network,
 		metrics:     prometheus.NewRegistry(),
-		incarnation: newIncarnation(set.Node),
+		incarnation: newIncarnation(settings.Node),
 		catalog:     catalog.NewHolder(),
 		outage:      outage{clk: clk},
-		duty:        duty.New(set.Duty.Addr, newTransport(network.DialContext)),
+		duty:        duty.New(settings.Duty.Addr, newTransport(network.DialContext)),
 		placing:     placing.NewBoard(),
 		started:     clk.Now(),
-		haste:       mathrand.Float64(),
+		watchJitter: mathrand.Float64(),
 	}
-	e.spent = spending.NewMeter(e.metrics)
+	e.meter = spending.NewMeter(e.metrics)
 	e.eras = newEras(log, clk, e.metrics)
-	e.store = objects.New(set.Platform.Addr, newTransport(e.dialFor(spending.Store)))
-	e.store.Observe = func(kind string, v objects.Verb) { e.spent.Called(kind, string(v)) }
-	e.store.ObserveEra = e.eras.note
+	e.store = objects.New(settings.Platform.Addr, newTransport(e.dialFor(spending.Store)))
+	e.store.Observe = func(kind string, v objects.Verb) { e.meter.Called(kind, string(v)) }
+	e.store.ObserveEra = e.eras.record
 	e.pool = lane.NewPool(e.clk, e.dialer)
 	e.gossip = newGossiper(e)
 	e.groups = groups.NewRegistry(groups.Config{
-		Catalog: e.catalog, Asker: asker{e}, Clock: e.clk, Decode: line.ParseStatus, Records: reigns{e},
-		Eligible: e.gossip.eligible, Asked: e.spent.Asked, LeaveAfter: leaveAfter(set), Log: log,
+		Catalog: e.catalog, Asker: controlClient{e}, Clock: e.clk, Decode: line.ParseStatus, Records: leadershipRecords{e},
+		Eligible: e.gossip.eligible, Asked: e.meter.Asked, LeaveAfter: leaveAfter(settings), Log: log,
 		Era: e.eras.current,
 	})
 	e.limits = newLimits(e)
 	e.local = &dispatch.Local{Pool: e.pool, Groups: e.groups, Clock: e.clk}
 	statuses := relay.NewStatuses(e.pool, e.clk)
 	e.router = relay.NewRouter(relay.RouterConfig{Local: e.local, Asker: e.pool, Statuses: statuses, Groups: e.groups, Clock: e.clk, Log: log, Dial: e.dialFor(spending.Relay)})
-	e.relay = relay.NewServer(relay.ServerConfig{Local: e.local, Asker: e.pool, Statuses: statuses, Groups: e.groups, Clock: e.clk, Log: log, Serves: e.relays, Idle: e.relayIdle, Draw: e.limits.Draw})
-	e.counts = engine.NewMetrics(e.metrics)
+	e.relay = relay.NewServer(relay.ServerConfig{Local: e.local, Asker: e.pool, Statuses: statuses, Groups: e.groups, Clock: e.clk, Log: log, Serves: e.acceptsRelayFor, Idle: e.relayIdleTimeout, Draw: e.limits.Draw})
+	e.engineMetrics = engine.NewMetrics(e.metrics)
 	e.engine = engine.New(engine.Config{
 		Catalog: e.catalog, Groups: e.groups, Runner: e.router, Placing: e.placing, Clock: e.clk,
-		Log: log, Metrics: e.counts, Zone: set.Zone, Limiter: e.limits,
+		Log: log, Metrics: e.engineMetrics, Zone: settings.Zone, Limiter: e.limits,
 	})
-	e.fleet = &fleet{edge: e}
+	e.fleetEntry = &fleetEntry{edge: e}
 	e.registerMetrics()
 	e.sessions = newSessions(e)
 	e.promoter = promoter.New(promoter.Config{
-		Node: set.Node, Catalog: e.catalog, Groups: e.groups, Records: reigns{e},
+		Node: settings.Node, Catalog: e.catalog, Groups: e.groups, Records: leadershipRecords{e},
 		Platform: designator{e.duty}, Fleet: e.gossip, Clock: e.clk, Log: log, Nonce: rand.Text,
 		Era: e.eras.current, RestoredAt: e.eras.restoredAt,
 	})
 	return e
 }
 
-// leavePart is the part of the deployment's bound for which a leaving target may
-// still be given work: the rest is for a word that came late, and for the way.
-const leavePart = 0.8
+// leaveFraction is the fraction of the deployment's drain bound during which a draining target may
+// still be assigned work. The remainder covers a late notification and the network latency.
+const leaveFraction = 0.8
 
-func leaveAfter(set *boot.Settings) time.Duration {
-	return time.Duration(float64(set.Bounds.DrainMS)*leavePart) * time.Millisecond
+func leaveAfter(settings *boot.Settings) time.Duration {
+	return time.Duration(float64(settings.Bounds.DrainMS)*leaveFraction) * time.Millisecond
 }
 
-// dialer opens links to a target.
+// dialer returns a function that opens links to a target.
 func (e *Edge) dialer(t *catalog.Target) lane.Dialer {
 	targets := e.dialFor(spending.Target)
 	return func(ctx context.Context, workspace string) (lane.Link, error) {
-		who := workspace
-		if who == "" {
-			who = e.set.Node
+		client := workspace
+		if client == "" {
+			client = e.settings.Node
 		}
-		timeout := greetTimeout
-		if by, ok := ctx.Deadline(); ok {
-			timeout = min(timeout, time.Until(by))
+		timeout := targetDialTimeout
+		if deadline, ok := ctx.Deadline(); ok {
+			timeout = min(timeout, time.Until(deadline))
 		}
-		link, err := line.Dial(ctx, targets, t.Addr, t.Service, who, t.ID, timeout)
+		link, err := line.Dial(ctx, targets, t.Addr, t.Service, client, t.ID, timeout)
 		if err != nil {
 			return nil, err
 		}
@@ -205,7 +205,7 @@
 	}
 }
 
-// Serve serves until ctx ends, and then ends gracefully.
+// Serve serves until ctx ends, and then shuts down gracefully.
 func (e *Edge) Serve(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -214,25 +214,25 @@
 		return err
 	}
 	e.startWatches(work)
-	go e.follow(work)
+	go e.distributeCatalog(work)
 	go func() {
-		e.fleet.join(work)
-		e.fleet.keep(work)
+		e.fleetEntry.join(work)
+		e.fleetEntry.maintain(work)
 	}()
 	go e.maintain(work)
 	go e.promoter.Run(work)
 	go e.gossip.run(work)
-	e.log.Info("serving", zap.String("consumers", e.set.Listen.Consumers), zap.String("incarnation", e.incarnation))
+	e.log.Info("serving", zap.String("consumers", e.settings.Listen.Consumers), zap.String("incarnation", e.incarnation))
 	select {
 	case err := <-failed:
 		return err
 	case <-ctx.Done():
-		e.end(work)
+		e.shutDownGracefully(work)
 		return nil
 	}
 }
 
-// reloadOn reads the settings anew at each signal.
+// reloadOn reloads the settings at each signal.
 func (e *Edge) reloadOn(ctx context.Context, hangup <-chan os.Signal) {
 	for {
 		select {
@@ -244,12 +244,12 @@
 	}
 }
 
-// reload reads the settings anew after SIGHUP. Only the memory limit is taken over:
-// it is this process's own.
+// reload reads the settings again after SIGHUP. It applies only the memory limit, which affects
+// this process alone.
 //
-// Failure guarded against: settings change on some VMs before others, and a request's
-// fate depends on which of them it meets. Whatever else has changed takes effect when a
-// process starts; until then the log says on which VM it is not in force.
+// Failure guarded against: settings change on some VMs before others, so that the result of a
+// request depends on which VM serves it. All other changes take effect when a process starts; until
+// then the log shows which VMs do not apply them yet.
 func (e *Edge) reload() {
 	next, err := boot.Load()
 	if err != nil {
@@ -257,22 +257,22 @@
 		return
 	}
 	if next.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(next.Limits.MemoryMB<<20) * memoryPart))
+		debug.SetMemoryLimit(int64(float64(next.Limits.MemoryMB<<20) * memoryFraction))
 	}
 	e.log.Info("settings-reloaded", zap.Int64("memory-mb", next.Limits.MemoryMB),
-		zap.Strings("at-next-start", boot.Differences(e.set, next)))
+		zap.Strings("at-next-start", boot.Differences(e.settings, next)))
 }
 
 func (e *Edge) listen(failed chan<- error) error {
-	ready, err := e.net.Listen(e.set.Listen.Ready)
+	ready, err := e.net.Listen(e.settings.Listen.Ready)
 	if err != nil {
 		return errors.Wrap(err, "listen for the balancer")
 	}
-	consumers, err := e.net.Listen(e.set.Listen.Consumers)
+	consumers, err := e.net.Listen(e.settings.Listen.Consumers)
 	if err != nil {
 		return errors.Wrap(err, "listen for consumers")
 	}
-	peers, err := e.net.Listen(e.set.Listen.Control)
+	peers, err := e.net.Listen(e.settings.Listen.Control)
 	if err != nil {
 		return errors.Wrap(err, "listen for peers")
 	}
@@ -283,41 +283,41 @@
 	return nil
 }
 
-// follow passes each new catalog to those who act on it.
-func (e *Edge) follow(ctx context.Context) {
-	tick := time.NewTicker(liveEvery)
+// distributeCatalog passes each new catalog to the components that depend on it.
+func (e *Edge) distributeCatalog(ctx context.Context) {
+	tick := time.NewTicker(liveCheckInterval)
 	defer tick.Stop()
-	plan := gateways.NewPlan(e.set.Node, e.catalog.Load())
+	assignment := gateways.NewPlan(e.settings.Node, e.catalog.Load())
 	for {
 		changed := e.catalog.Changed()
 		c := e.catalog.Load()
-		live := e.gossip.live(c)
-		plan = plan.Next(c, live)
-		e.pool.Update(c, plan.Share)
-		e.router.Update(plan, c)
+		live := e.gossip.liveCount(c)
+		assignment = assignment.Next(c, live)
+		e.pool.Update(c, assignment.Share)
+		e.router.Update(assignment, c)
 		e.limits.update(c)
 		e.groups.Update(c)
-		e.gossip.keep(c)
+		e.gossip.updatePeers(c)
 		e.placing.Keep(c.Incarnation)
-		if !e.awaitNews(ctx, changed, tick.C, live) {
+		if !e.awaitChange(ctx, changed, tick.C, live) {
 			return
 		}
 	}
 }
 
-// liveEvery is how often it is looked whether as many VMs answer as before: peers are
-// asked in turn, each about once a second.
-const liveEvery = time.Second
+// liveCheckInterval is how often the number of live VMs is compared with the previous one. Peers
+// are polled in turn, each about once a second.
+const liveCheckInterval = time.Second
 
-// awaitNews waits until the catalog has changed, another number of VMs answers, or the
-// owners of limits are due to change. It is false once ctx has ended.
-func (e *Edge) awaitNews(ctx context.Context, changed <-chan struct{}, tick <-chan time.Time, live int) bool {
+// awaitChange waits until the catalog has changed, the number of live VMs has changed, or the
+// owners of limits are due to change. It returns false once ctx has ended.
+func (e *Edge) awaitChange(ctx context.Context, changed <-chan struct{}, tick <-chan time.Time, live int) bool {
 	for {
 		select {
 		case <-changed:
 			return true
 		case <-tick:
-			if c := e.catalog.Load(); e.gossip.live(c) != live || e.limits.behind(c) {
+			if c := e.catalog.Load(); e.gossip.liveCount(c) != live || e.limits.outdated(c) {
 				return true
 			}
 		case <-ctx.Done():
@@ -326,14 +326,14 @@
 	}
 }
 
-// maintain does what is due from time to time.
+// maintain runs the periodic work.
 func (e *Edge) maintain(ctx context.Context) {
 	tick := time.NewTicker(lane.TendEvery)
 	defer tick.Stop()
-	summary := time.NewTicker(summaryEvery)
+	summary := time.NewTicker(summaryInterval)
 	defer summary.Stop()
-	waited := time.NewTicker(waitedEvery)
-	defer waited.Stop()
+	queueReport := time.NewTicker(queueReportInterval)
+	defer queueReport.Stop()
 	for {
 		select {
 		case <-tick.C:
@@ -341,8 +341,8 @@
 			e.relay.Sweep()
 		case <-summary.C:
 			e.summarize()
-		case <-waited.C:
-			e.reportWaited()
+		case <-queueReport.C:
+			e.reportQueues()
 		case <-ctx.Done():
 			return
 		}
--- a/edge/eras.go
+++ b/edge/eras.go
@@ -11,8 +11,8 @@
 	"endivemoor.example/endivemoor/clock"
 )
 
-// eras is what this VM knows of the eras of the store: it begins one each time that it
-// comes back from an older copy of itself, and has lost the changes since.
+// eras tracks the eras of the store. The store begins a new era each time it is restored from an
+// older copy of itself and so loses the changes made since that copy.
 type eras struct {
 	log   *zap.Logger
 	clk   clock.Clock
@@ -20,9 +20,9 @@
 
 	mu    sync.Mutex
 	known bool
-	first int64 // the one in which this process began
+	first int64 // the era in which this process began
 	era   int64
-	since clock.Time // when the present one was first heard of; 0 if it is the first one
+	since clock.Time // when the current era was first received; 0 if it is the first one
 	began chan struct{}
 }
 
@@ -34,8 +34,9 @@
 	return s
 }
 
-// note takes over an era that the store or a peer has told. The first one is no change.
-func (s *eras) note(era int64) {
+// record records an era that the store or a peer has reported. The first one does not count as a
+// change.
+func (s *eras) record(era int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.known {
@@ -52,44 +53,44 @@
 	s.began = make(chan struct{})
 }
 
-// noteRevision is note for the era of a revision that a peer has told. A peer that has
-// none tells 0.
-func (s *eras) noteRevision(r catalog.Revision) {
+// recordRevision records the era of a revision that a peer has reported. A peer without a revision
+// reports 0.
+func (s *eras) recordRevision(r catalog.Revision) {
 	if r != 0 {
-		s.note(catalog.EraOf(r))
+		s.record(catalog.EraOf(r))
 	}
 }
 
-// current is the latest era that is known.
+// current returns the latest known era.
 func (s *eras) current() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.era
 }
 
-// ofMissing is the era for which it can be said that a record which is not there never
-// was: the one in which this process began, as a record may have been lost since.
-func (s *eras) ofMissing() int64 {
+// missingRecordEra returns the latest era for which an absent record is known never to have
+// existed: the one in which this process began, because a restore may have lost the record since.
+func (s *eras) missingRecordEra() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.first
 }
 
-// restoredAt is when the present era was first heard of; 0 if this process knows no other.
+// restoredAt returns when the current era was first received; 0 if this process has seen no other.
 func (s *eras) restoredAt() clock.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.since
 }
 
-// younger reports whether the present era began so lately.
-func (s *eras) younger(than time.Duration) bool {
+// startedWithin reports whether the current era began less than the given duration ago.
+func (s *eras) startedWithin(than time.Duration) bool {
 	at := s.restoredAt()
 	return at != 0 && s.clk.Now().Sub(at) < than
 }
 
-// next is closed as the next era begins.
-func (s *eras) next() <-chan struct{} {
+// nextEra returns a channel that is closed when the next era begins.
+func (s *eras) nextEra() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.began
--- a/edge/evidence.go
+++ b/edge/evidence.go
@@ -8,7 +8,7 @@
 	"endivemoor.example/endivemoor/recency"
 )
 
-// versionOf is which version of a list a catalog holds.
+// versionOf returns the version of a list that a catalog holds.
 func versionOf(c *catalog.Catalog, l recency.List) int64 {
 	switch l {
 	case recency.Config:
@@ -20,13 +20,13 @@
 	}
 }
 
-// confirm notes that the store has just said that this VM's copy of a list is its own.
-func (e *Edge) confirm(l recency.List, revision int64, at clock.Time) {
+// recordConfirmation records that the store has confirmed this VM's copy of a list as current.
+func (e *Edge) recordConfirmation(l recency.List, revision int64, at clock.Time) {
 	e.recency.Note(l, recency.Mark{Version: versionOf(e.catalog.Load(), l), Revision: revision, At: at})
 }
 
-// marks is the evidence for all copies that this VM has.
-func (e *Edge) marks(c *catalog.Catalog) map[recency.List]recency.Mark {
+// confirmations returns the newest confirmation of each of this VM's copies.
+func (e *Edge) confirmations(c *catalog.Catalog) map[recency.List]recency.Mark {
 	out := make(map[recency.List]recency.Mark, len(recency.Lists()))
 	for _, l := range recency.Lists() {
 		out[l] = e.recency.Newest(l, versionOf(c, l))
@@ -34,7 +34,7 @@
 	return out
 }
 
-// evidenceAge is how long ago this VM's copy of a list was known to be the store's.
+// evidenceAge returns how long ago this VM's copy of a list was known to equal the store's.
 func (e *Edge) evidenceAge(l recency.List) time.Duration {
 	return e.recency.Age(l, versionOf(e.catalog.Load(), l), e.clk.Now())
 }
--- a/edge/failover_test.go
+++ b/edge/failover_test.go
@@ -15,9 +15,9 @@
 	"endivemoor.example/endivemoor/takeover"
 )
 
-// buyUntil writes under load until a moment has passed, and returns for how
-// long no write succeeded in between. Each write has its own item, which must
-// be there afterwards if it was acknowledged.
+// buyUntil writes in a loop for the given time, and returns the longest interval without a
+// successful write. Each write has its own item, which must exist afterwards if the write was
+// acknowledged.
 func buyUntil(f *fleet, c *consumer.Session, until time.Duration) (gap time.Duration, bought []string) {
 	start := time.Now()
 	last := start
@@ -40,11 +40,10 @@
 	}
 }
 
-// The primary dies at night. Nobody is awake: the fleet promotes a replica that
-// holds every confirmed purchase, and passengers can buy again within a second
-// and a half.
+// Guards against: a dead primary that is not replaced automatically. The fleet promotes a replica
+// that holds every confirmed write, and writes succeed again within 1.5 s.
 func TestDeadPrimaryIsReplaced(t *testing.T) {
-	play(t, 3, func(f *fleet) {
+	runFleet(t, 3, func(f *fleet) {
 		c := f.session("vm0", exact)
 		_, before := buyUntil(f, c, time.Second)
 		f.world.Crash(service, "ledger-0")
@@ -52,16 +51,16 @@
 		require.Less(t, gap, 1500*time.Millisecond)
 		require.NotEqual(t, "ledger-0", f.group.Leader())
 		requireAll(f, f.session("vm1", exact), append(before, after...))
-		require.Len(t, f.world.Store.Duties(), 1, "one VM acts, once")
-		f.fair()
+		require.Len(t, f.world.Store.Duties(), 1, "one VM makes one attempt")
+		f.checkInvariants()
 	})
 }
 
-// One replica receives nothing for a while, then the primary dies. The deaf
-// replica answers all questions, but only the other one holds what was
-// confirmed meanwhile.
+// Guards against: the promotion of a replica that lacks confirmed writes. One replica receives
+// nothing for a while, then the primary dies. That replica answers all status queries, but only the
+// other one holds the writes confirmed meanwhile.
 func TestDeafReplicaIsNotPromoted(t *testing.T) {
-	play(t, 3, func(f *fleet) {
+	runFleet(t, 3, func(f *fleet) {
 		c := f.session("vm0", exact)
 		f.group.SetDeaf("ledger-1", true)
 		_, bought := buyUntil(f, c, 2*time.Second)
@@ -69,15 +68,15 @@
 		_, after := buyUntil(f, c, 4*time.Second)
 		require.Equal(t, "ledger-2", f.group.Leader())
 		requireAll(f, f.session("vm2", exact), append(bought, after...))
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// A purchase is held by the primary and one replica. That replica is gone for
-// good when the primary dies; the last one received nothing. Promoting it would
-// lose the purchase, so the service waits until the primary is back.
+// Guards against: the loss of a write by promoting the last replica. The write is on the primary
+// and on one replica, which is removed before the primary dies; the last replica received nothing.
+// The service must wait until the primary is back.
 func TestLastReplicaThatLacksCommitsIsNotPromoted(t *testing.T) {
-	play(t, 3, func(f *fleet) {
+	runFleet(t, 3, func(f *fleet) {
 		c := f.session("vm0", exact)
 		f.group.SetDeaf("ledger-1", true)
 		_, bought := buyUntil(f, c, time.Second)
@@ -92,14 +91,14 @@
 		f.world.Restart(service, "ledger-0")
 		time.Sleep(4 * time.Second)
 		requireAll(f, f.session("vm1", exact), bought)
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// The primary is to be replaced and says so. Its successor is chosen while it
-// still runs, and no purchase fails for it: what cannot run is held a moment.
+// Guards against: failed writes during a planned change. The primary drains, its successor is
+// chosen while it still runs, and writes that cannot run yet are queued.
 func TestLeavingPrimaryIsReplacedWithoutAFailedWrite(t *testing.T) {
-	play(t, 3, func(f *fleet) {
+	runFleet(t, 3, func(f *fleet) {
 		c := f.session("vm0", exact)
 		done := make(chan int)
 		go func() {
@@ -116,14 +115,14 @@
 		f.world.Drain(service, "ledger-0")
 		require.Zero(t, <-done)
 		require.NotEqual(t, "ledger-0", f.group.Leader())
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// The fleet's own VM that would act is cut off from the store. Another one acts
-// in its place.
+// Guards against: an attempt that is never made because the VM that would make it is cut off from
+// the store. Another VM makes it.
 func TestAnotherVMActsForOneWithoutStore(t *testing.T) {
-	play(t, 3, func(f *fleet) {
+	runFleet(t, 3, func(f *fleet) {
 		for _, cut := range []string{"vm0", "vm1"} {
 			f.world.CutFromStore(cut, true)
 		}
@@ -132,29 +131,28 @@
 		gap, _ := buyUntil(f, c, 5*time.Second)
 		require.Less(t, gap, 2500*time.Millisecond)
 		require.Equal(t, "vm2", f.world.Store.Duties()[0].Holder)
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// Every answer of the store to the attempt's record is lost. The record was
-// made all the same: the VM reads it back and goes on, instead of leaving an
-// attempt that blocks everyone until it lapses.
+// Guards against: an attempt that blocks all VMs until it expires because the store's reply to its
+// record was lost. The record was made, so the VM reads it back and continues.
 func TestLostAnswerToTheRecordIsReadBack(t *testing.T) {
-	play(t, 3, func(f *fleet) {
+	runFleet(t, 3, func(f *fleet) {
 		c := f.session("vm0", exact)
 		f.world.Store.LoseAnswers(1)
 		f.world.Crash(service, "ledger-0")
 		gap, _ := buyUntil(f, c, 5*time.Second)
 		require.Less(t, gap, 2*time.Second)
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// A read that must be exact reaches a VM that still believes in the old
-// primary, while that one is cut off from its replicas and from nobody else.
-// It answers with what it has; only the witness shows that it leads no more.
+// Guards against: an outdated exact read at a VM that still considers the old primary the leader.
+// The old primary is cut off from its replicas only, so it answers; only the witness shows that it
+// no longer leads.
 func TestSupersededPrimaryGivesNoExactRead(t *testing.T) {
-	play(t, 3, func(f *fleet) {
+	runFleet(t, 3, func(f *fleet) {
 		c := f.session("vm0", exact)
 		require.True(t, c.Query("WRITE seat free").OK())
 		f.group.SetDeaf("ledger-0", true)
@@ -164,16 +162,16 @@
 		for name := range f.vms {
 			require.Equal(t, []string{"taken"}, f.session(name, exact).Query("READ seat").Rows, name)
 		}
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// One VM is cut off from the store and from all other VMs when the primary, cut
-// off from its replicas, is replaced. It still believes in the old one, which
-// answers it at once. An exact read there must see what was sold elsewhere
-// since, or fail.
+// Guards against: an outdated exact read at an isolated VM. The VM is cut off from the store and
+// from all other VMs while the primary, cut off from its replicas, is replaced. It still considers
+// the old primary the leader, which answers it at once. An exact read there must return the latest
+// write or fail.
 func TestCutOffVMGivesNoStaleExactRead(t *testing.T) {
-	play(t, 3, func(f *fleet) {
+	runFleet(t, 3, func(f *fleet) {
 		c, alone := f.session("vm0", exact), f.session("vm1", exact)
 		require.True(t, c.Query("WRITE seat free").OK())
 		require.Equal(t, []string{"free"}, alone.Query("READ seat").Rows)
@@ -188,19 +186,18 @@
 		require.NotEmpty(t, sold)
 		a := alone.Query("READ seat")
 		require.False(t, a.OK() && a.Rows[0] != sold, "%+v", a)
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// A VM that does not answer may hold the permission to take the primary for
-// unchanged. Nobody is promoted before that has lapsed; if all answer, nothing
-// is waited for.
+// Guards against: a promotion while a VM that does not answer may still hold a read permission. The
+// fleet waits until the permission has expired; if all VMs answer, it does not wait.
 func TestSilentVMsPermissionIsWaitedOut(t *testing.T) {
-	gap := func(silent bool) (until time.Duration) {
-		play(t, 3, func(f *fleet) {
+	gap := func(unreachable bool) (until time.Duration) {
+		runFleet(t, 3, func(f *fleet) {
 			c := f.session("vm0", exact)
 			require.True(t, c.Query("WRITE a 1").OK())
-			if silent {
+			if unreachable {
 				f.isolate("vm1")
 			}
 			f.world.Crash(service, "ledger-0")
@@ -214,10 +211,10 @@
 	require.Greater(t, gap(true), gap(false)+takeover.Permission-100*time.Millisecond)
 }
 
-// The store is down when the primary dies. Nobody may act without a record, so
-// the service waits; once the store is back it is replaced at once.
+// Guards against: a promotion without a record. The store is down when the primary dies, so the
+// service waits; once the store is back the primary is replaced at once.
 func TestNobodyActsWithoutTheStore(t *testing.T) {
-	play(t, 3, func(f *fleet) {
+	runFleet(t, 3, func(f *fleet) {
 		c := f.session("vm0", exact)
 		f.world.Store.SetDown(true)
 		f.world.Crash(service, "ledger-0")
@@ -226,16 +223,16 @@
 		f.world.Store.SetDown(false)
 		_, after := buyUntil(f, c, 3*time.Second)
 		require.NotEmpty(t, after)
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// Every VM sees the primary fall silent at the same moment, and the targets are
-// slow to answer the questions that come before an attempt. Only one VM may
-// record an attempt: one recorded on top of another's makes two holders, whose
-// calls reach the platform in any order, the lower token after the higher.
+// Guards against: two holders whose calls reach the platform out of order, the lower token after
+// the higher. Every VM finds the primary unreachable at the same time, and the targets are slow to
+// answer the status queries before an attempt. Only one VM may record an attempt, and none on top
+// of another one's.
 func TestOneOfManyVMsActs(t *testing.T) {
-	play(t, 9, func(f *fleet) {
+	runFleet(t, 9, func(f *fleet) {
 		f.world.Net.SetDelay(30 * time.Millisecond)
 		for name := range f.vms {
 			c := f.session(name, exact)
@@ -248,19 +245,19 @@
 		require.NotEmpty(t, duties)
 		for _, d := range duties {
 			d.At = duties[0].At
-			require.Equal(t, duties[0], d, "one holder, one token, one target")
+			require.Equal(t, duties[0], d, "all promotions must name the same holder, token and target")
 		}
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// Servers are replaced one after the other. The new replicas receive nothing
-// yet, and purchases are held by the primary and the last old replica, which
-// then leaves as planned. Now the primary can have no write acknowledged, and
-// both of its replicas can be asked: they are two of three logs, and hold
-// nothing of what was sold. Promoting one would lose it all.
+// Guards against: the loss of confirmed writes by promoting replicas that were added later. Targets
+// are replaced one after the other. The new replicas receive nothing yet, and confirmed writes are
+// on the primary and the last old replica, which then drains and is removed. Now the primary can
+// confirm no write, and both of its replicas answer status queries: they are two of three logs, but
+// hold none of the writes.
 func TestReplicasThatReplacedAHolderAreNotPromoted(t *testing.T) {
-	play(t, 3, func(f *fleet) {
+	runFleet(t, 3, func(f *fleet) {
 		f.group.SetDeaf("ledger-1", true)
 		f.world.AddServer(service, "ledger-3", "b")
 		f.group.SetDeaf("ledger-3", true)
@@ -278,17 +275,17 @@
 		_, after := buyUntil(f, c, 3*time.Second)
 		require.NotEmpty(t, after)
 		requireAll(f, f.session("vm1", exact), append(bought, after...))
-		f.fair()
+		f.checkInvariants()
 		f.world.Crash(service, "ledger-3")
 	})
 }
 
-// Replicas acknowledge nothing on this deployment, so that a primary which was
-// replaced goes on confirming writes to a VM that has not heard of it. What it
-// confirms there is on no log that counts, and the consumer must not be told
-// that it was sold.
+// Guards against: a write that is acknowledged by a superseded primary. Replicas acknowledge
+// nothing in this deployment, so a replaced primary continues to confirm writes to a VM that is not
+// aware of the change. No current log holds them, and the consumer must not receive an
+// acknowledgment.
 func TestSupersededPrimaryAcknowledgesNothing(t *testing.T) {
-	playOn(t, 3, database.Options{Asynchronous: true}, func(f *fleet) {
+	runFleetWith(t, 3, database.Options{Asynchronous: true}, func(f *fleet) {
 		c, alone := f.session("vm0", exact), f.session("vm1", exact)
 		require.True(t, c.Query("WRITE seat free").OK())
 		require.True(t, alone.Query("WRITE other free").OK())
@@ -307,13 +304,14 @@
 	})
 }
 
-// One VM cannot reach the primary and begins to replace it; the primary itself
-// is well, and others go on selling. A new replica joins in that moment. The
-// attempt has not paused it, so that it receives, and the primary confirms what
-// no candidate holds. Either that is not acknowledged, or nobody is promoted.
+// Guards against: the loss of a write that only a replica added during an attempt holds. One VM
+// cannot reach the primary and begins to replace it, while the primary serves the other VMs. The
+// new replica was not paused by the attempt, so it receives changes, and the primary confirms
+// writes that no candidate holds. Either such a write is not acknowledged, or no target is
+// promoted.
 func TestReplicaThatJoinsDuringAnAttempt(t *testing.T) {
 	for _, after := range []time.Duration{0, 20, 60, 150, 250} {
-		play(t, 3, func(f *fleet) {
+		runFleet(t, 3, func(f *fleet) {
 			c, cut := f.session("vm0", exact), f.session("vm1", exact)
 			require.True(t, cut.Query("WRITE a 1").OK())
 			f.world.Net.Cut("vm1", "ledger-0")
@@ -331,18 +329,18 @@
 			_, bought := buyUntil(f, c, 4*time.Second)
 			require.NotEmpty(t, bought)
 			time.Sleep(2 * time.Second)
-			f.fair()
+			f.checkInvariants()
 			requireAll(f, f.session("vm2", exact), bought)
 			f.world.Crash(service, "ledger-3")
 		})
 	}
 }
 
-// The primary leaves and cannot be replaced, for its replicas receive nothing.
-// It still answers, but a few seconds after its word it must get no more work:
-// it may be gone with what it is given.
+// Guards against: work that is sent to a draining primary for too long, because it may stop with
+// that work. The primary cannot be replaced, because its replicas receive nothing. It still
+// answers, but must get no more work a few seconds after it reported the drain.
 func TestLeavingPrimaryGetsNoWorkForLong(t *testing.T) {
-	play(t, 1, func(f *fleet) {
+	runFleet(t, 1, func(f *fleet) {
 		c := f.session("vm0", exact)
 		f.group.SetDeaf("ledger-2", true)
 		require.True(t, c.Query("WRITE a 1").OK())
@@ -351,18 +349,18 @@
 		time.Sleep(4 * time.Second)
 		f.world.Drain(service, "ledger-0")
 		time.Sleep(4 * time.Second)
-		require.Equal(t, []string{"1"}, c.Query("READ a").Rows, "it serves until then")
+		require.Equal(t, []string{"1"}, c.Query("READ a").Rows, "it serves until then: the drain bound has not passed")
 		time.Sleep(2800 * time.Millisecond)
 		require.Equal(t, "BUSY", c.Query("READ a").Code)
 		require.Equal(t, "BUSY", c.Query("WRITE a 2").Code)
 	})
 }
 
-// The same under steady load at every VM: writes are on their way at the old
-// primary in the moment in which it is told to lead no longer. They are in its log,
-// which its successor holds, so that each is confirmed and none is in doubt.
+// Guards against: writes in doubt during a planned change under steady load at every VM. Writes are
+// in flight at the old primary when it receives the step-down command. They are in its log, which
+// its successor holds, so each one is confirmed.
 func TestLeavingPrimaryLeavesNoWriteInDoubt(t *testing.T) {
-	play(t, 3, func(f *fleet) {
+	runFleet(t, 3, func(f *fleet) {
 		failed := make(chan string, 100)
 		var wait sync.WaitGroup
 		stop := time.Now().Add(3 * time.Second)
@@ -390,16 +388,16 @@
 		}
 		require.Empty(t, codes)
 		require.NotEqual(t, "ledger-0", f.group.Leader())
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// A VM recorded that it replaces the primary and died before it did anything.
-// Nothing is wrong with the primary; but while the record stands no VM may trust
-// what it knows, and every purchase asks a replica anew. Another VM ends it once
-// it has lapsed.
+// Guards against: the record of a dead holder that stays in force. A VM recorded an attempt and
+// died before it made any change. The primary is healthy, but while the record exists no VM may
+// rely on its cached state, and every write queries a replica. Another VM ends the attempt once it
+// has expired.
 func TestRecordOfADeadHolderIsEnded(t *testing.T) {
-	play(t, 3, func(f *fleet) {
+	runFleet(t, 3, func(f *fleet) {
 		f.world.Store.Put("endivemoor", "reign."+service, map[string]any{
 			"holder": "vm9", "attempt": map[string]any{"nonce": "n", "deposed": "ledger-0"},
 		})
@@ -409,8 +407,8 @@
 		require.True(t, ok)
 		require.NotContains(t, string(o.Spec), "attempt")
 		require.Contains(t, string(o.Spec), "ledger-0")
-		require.Empty(t, f.world.Store.Duties(), "nobody is promoted")
+		require.Empty(t, f.world.Store.Duties(), "no target is promoted")
 		require.NotEmpty(t, bought)
-		f.fair()
+		f.checkInvariants()
 	})
 }
--- a/edge/faults_test.go
+++ b/edge/faults_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The answer to a purchase is lost. Whether it was made is not known, and the
-// passenger's application must hear just that, and no promise.
+// Guards against: a definite result for a write whose answer was lost. The outcome is unknown, and
+// the consumer must receive exactly that.
 func TestLostAnswerToAWriteIsInDoubt(t *testing.T) {
-	play(t, 1, func(f *fleet) {
+	runFleet(t, 1, func(f *fleet) {
 		c := f.session("vm0", exact)
 		require.True(t, c.Query("WRITE a 1").OK())
 		f.group.LoseAnswers("ledger-0", 1)
@@ -18,14 +18,14 @@
 		require.Contains(t, []string{"INDOUBT", "TIMEOUT"}, a.Code)
 		require.Equal(t, "I", a.State)
 		require.Equal(t, []string{"2"}, c.Query("READ a").Rows)
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// The answer to a statement within a transaction is lost. Its commit was never
-// sent, so nothing is kept, and the caller may be told so and repeat it all.
+// Guards against: an in-doubt result for a statement within a transaction whose answer was lost.
+// The commit was never sent, so nothing is kept, and the consumer may repeat the whole transaction.
 func TestLostAnswerWithinATransactionAborts(t *testing.T) {
-	play(t, 1, func(f *fleet) {
+	runFleet(t, 1, func(f *fleet) {
 		c := f.session("vm0", exact)
 		c.Query("BEGIN")
 		require.True(t, c.Query("WRITE a 1").OK())
@@ -36,14 +36,14 @@
 		require.Equal(t, "MALFORMED", c.Query("READ a").Code)
 		require.Equal(t, "I", c.Query("ROLLBACK").State)
 		require.Equal(t, []string{"none"}, c.Query("READ a").Rows)
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// The commit's answer is lost: a transaction that wrote is in doubt, one that
-// only read may be repeated.
+// If the answer to a commit is lost, a transaction that wrote is in doubt, and one that only read
+// may be repeated.
 func TestLostAnswerToACommit(t *testing.T) {
-	play(t, 1, func(f *fleet) {
+	runFleet(t, 1, func(f *fleet) {
 		c := f.session("vm0", exact)
 		c.Query("BEGIN")
 		c.Query("WRITE a 1")
@@ -53,14 +53,14 @@
 		require.True(t, c.Query("READ a").OK())
 		f.group.LoseAnswers("ledger-0", 1)
 		require.Equal(t, "ABORTED", c.Query("COMMIT").Code)
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// A replica runs a read and its answer is lost. The reader gets the answer of
-// another target, and waits for no time-out of its own.
+// Guards against: a read that waits for its timeout after a replica's answer was lost. Another
+// target answers it.
 func TestLostAnswerToAReadIsReadElsewhere(t *testing.T) {
-	play(t, 1, func(f *fleet) {
+	runFleet(t, 1, func(f *fleet) {
 		c := f.session("vm0", bounded)
 		require.True(t, c.Query("READ a").OK())
 		f.group.LoseAnswers("ledger-1", 1)
@@ -72,11 +72,11 @@
 	})
 }
 
-// A consumer opens a transaction, writes and falls asleep. The transaction ends
-// after the configured time, its connection serves others, and the consumer
-// hears of it with its next statement.
+// Guards against: an idle transaction that holds its connection. The transaction ends after the
+// configured time, its connection serves others, and the consumer receives an error for its next
+// statement.
 func TestIdleTransactionEnds(t *testing.T) {
-	play(t, 1, func(f *fleet) {
+	runFleet(t, 1, func(f *fleet) {
 		c := f.session("vm0", exact)
 		c.Query("BEGIN")
 		require.True(t, c.Query("WRITE a 1").OK())
@@ -87,9 +87,10 @@
 	})
 }
 
-// A consumer leaves in the middle of a transaction. Nothing of it is kept.
+// Guards against: changes that are kept although the consumer disconnected in the middle of the
+// transaction.
 func TestConsumerWhoLeavesKeepsNothing(t *testing.T) {
-	play(t, 1, func(f *fleet) {
+	runFleet(t, 1, func(f *fleet) {
 		c := f.session("vm0", exact)
 		c.Query("BEGIN")
 		require.True(t, c.Query("WRITE a 1").OK())
@@ -99,10 +100,10 @@
 	})
 }
 
-// A VM is stopped while a transaction is open and another session is idle. The
-// transaction may end; the idle session is closed between operations.
+// Guards against: a stopped VM that aborts an open transaction or keeps an idle session. The
+// transaction may end, and the idle session is closed between operations.
 func TestStoppedVMLetsTransactionsEnd(t *testing.T) {
-	play(t, 2, func(f *fleet) {
+	runFleet(t, 2, func(f *fleet) {
 		busy, idle := f.session("vm0", exact), f.session("vm0", exact)
 		busy.Query("BEGIN")
 		require.True(t, busy.Query("WRITE a 1").OK())
@@ -113,14 +114,14 @@
 		<-f.vms["vm0"].done
 		require.Equal(t, []string{"1"}, f.session("vm1", exact).Query("READ a").Rows)
 		_, there := f.world.Store.Get("endivemoor", "vm.vm0")
-		require.False(t, there, "the entry of a VM that left is taken away")
+		require.False(t, there, "a stopped VM removes its entry")
 	})
 }
 
-// The store drops its history while a configuration changes, and the watch
-// hears nothing. The change must be in force within its bound all the same.
+// Guards against: a configuration that is late because the store dropped its history during the
+// change and the watch missed it. The change must be in force within its bound.
 func TestConfigurationAfterADroppedHistory(t *testing.T) {
-	play(t, 1, func(f *fleet) {
+	runFleet(t, 1, func(f *fleet) {
 		routes := standardRoutes()
 		routes[0].Database = "renamed"
 		f.world.CutFromStore("vm0", true)
@@ -132,10 +133,10 @@
 	})
 }
 
-// Entries of targets lapse while the store is down, though the targets live.
-// Sessions must not lose their service over it.
+// Guards against: sessions that lose their service when the entries of running targets expire while
+// the store is down.
 func TestLapsedEntriesCostNoService(t *testing.T) {
-	play(t, 1, func(f *fleet) {
+	runFleet(t, 1, func(f *fleet) {
 		c := f.session("vm0", exact)
 		require.True(t, c.Query("READ a").OK())
 		for _, id := range []string{"ledger-0", "ledger-1", "ledger-2"} {
--- a/edge/fleet.go
+++ b/edge/fleet.go
@@ -16,20 +16,20 @@
 
 func newIncarnation(node string) string { return node + "-" + rand.Text()[:8] }
 
-// fleet keeps this VM's own entry.
-type fleet struct{ edge *Edge }
+// fleetEntry maintains this VM's own entry in the fleet's list.
+type fleetEntry struct{ edge *Edge }
 
-// anyRevision replaces an object whatever its revision.
+// anyRevision makes a replace unconditional.
 const anyRevision = 0
 
-// joinRetry is the pause between two tries to write the entry.
+// joinRetry is the pause between two attempts to write the entry.
 const joinRetry = 500 * time.Millisecond
 
-// join writes this VM's entry, until it is there.
-func (f *fleet) join(ctx context.Context) {
+// join retries until this VM's entry is written.
+func (f *fleetEntry) join(ctx context.Context) {
 	for f.edge.outage.admit(ctx) {
 		err := f.write(ctx)
-		f.edge.outage.note(err)
+		f.edge.outage.record(err)
 		if err == nil {
 			return
 		}
@@ -38,14 +38,14 @@
 	}
 }
 
-func (f *fleet) write(ctx context.Context) error {
+func (f *fleetEntry) write(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	e := f.edge
-	record := vmRecord{Zone: e.set.Zone, Peer: e.set.Listen.Control, Incarnation: e.incarnation, Capacity: e.set.Limits.Capacity()}
-	name := prefixVM + e.set.Node
-	if !e.set.FirstStart {
-		// The entry of the process before is still there: nothing in the store ends by itself.
+	record := vmRecord{Zone: e.settings.Zone, Peer: e.settings.Listen.Control, Incarnation: e.incarnation, Capacity: e.settings.Limits.Capacity()}
+	name := prefixVM + e.settings.Node
+	if !e.settings.FirstStart {
+		// The entry of the previous process still exists: entries in the store do not expire.
 		_, err := e.store.Replace(ctx, kindFleet, name, anyRevision, record)
 		if !errors.Is(err, objects.ErrNotFound) {
 			return err
@@ -60,41 +60,41 @@
 	return err
 }
 
-// keepEvery is how often the entries of the fleet are looked after.
-const keepEvery = 10 * time.Second
+// entryCheckInterval is how often the fleet's entries are checked.
+const entryCheckInterval = 10 * time.Second
 
-// afterRestore is how long after the store has come back from an older copy a VM looks if
-// its entry is there: the list of the new era has come by then.
-const afterRestore = 700 * time.Millisecond
+// restoreCheckDelay is how long after a restore of the store a VM checks whether its entry exists.
+// The list of the new era has arrived by then.
+const restoreCheckDelay = 700 * time.Millisecond
 
-// keep writes this VM's entry again if it was taken away, as after a long
-// partition, or lost by the store, and takes away those of VMs that are long dead. Nothing in the
-// store ends by itself.
-func (f *fleet) keep(ctx context.Context) {
-	tick := time.NewTicker(keepEvery)
+// maintain rewrites this VM's entry if it was removed, as after a long partition, or lost by the
+// store. It also removes the entries of VMs that have been dead for long, because entries in the
+// store do not expire.
+func (f *fleetEntry) maintain(ctx context.Context) {
+	tick := time.NewTicker(entryCheckInterval)
 	defer tick.Stop()
 	for {
 		e := f.edge
 		select {
 		case <-tick.C:
-		case <-e.eras.next():
-			wait.For(ctx, afterRestore)
+		case <-e.eras.nextEra():
+			wait.For(ctx, restoreCheckDelay)
 		case <-ctx.Done():
 			return
 		}
 		c := e.catalog.Load()
-		if vm, ok := c.VM(e.set.Node); c.FleetRevision > 0 && (!ok || vm.Incarnation != e.incarnation) && !e.ends.leaving.Load() {
+		if vm, ok := c.VM(e.settings.Node); c.FleetRevision > 0 && (!ok || vm.Incarnation != e.incarnation) && !e.shutdown.leaving.Load() {
 			e.log.Info("entry-missing")
 			f.join(ctx)
 		}
-		for _, vm := range e.gossip.gone() {
+		for _, vm := range e.gossip.removableVMs() {
 			f.sweep(ctx, vm)
 		}
 	}
 }
 
-// sweep takes away the entry of a VM that is long dead, unless it has changed.
-func (f *fleet) sweep(ctx context.Context, vm string) {
+// sweep removes the entry of a VM that has been dead for long, unless the entry has changed.
+func (f *fleetEntry) sweep(ctx context.Context, vm string) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	o, err := f.edge.store.Get(ctx, kindFleet, prefixVM+vm)
@@ -129,11 +129,11 @@
 	return out, nil
 }
 
-// leave takes this VM's entry away.
-func (f *fleet) leave(ctx context.Context) {
+// remove deletes this VM's entry.
+func (f *fleetEntry) remove(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := f.edge.store.Delete(ctx, kindFleet, prefixVM+f.edge.set.Node, 0); err != nil && !errors.Is(err, objects.ErrNotFound) {
+	if err := f.edge.store.Delete(ctx, kindFleet, prefixVM+f.edge.settings.Node, 0); err != nil && !errors.Is(err, objects.ErrNotFound) {
 		f.edge.log.Warn("entry-left-behind", zap.Error(err))
 	}
 }
--- a/edge/fleetfollower.go
+++ b/edge/fleetfollower.go
@@ -14,31 +14,31 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// kindFleet is the fleet's own kind of objects: its VMs and the reigns of its
-// services. One kind takes one watch.
+// kindFleet is the kind of the fleet's own objects: its VMs and the leadership records of its
+// services. They share one kind so that one watch covers both.
 const kindFleet = "endivemoor"
 
-// Prefixes of names within kindFleet.
+// Prefixes of object names within kindFleet.
 const (
-	prefixVM    = "vm."
-	prefixReign = "reign."
+	prefixVM         = "vm."
+	prefixLeadership = "reign."
 )
 
-// vmRecord is a VM's entry.
+// vmRecord is the stored entry of a VM.
 type vmRecord struct {
 	Zone        string `json:"zone"`
 	Peer        string `json:"peer"`
 	Incarnation string `json:"incarnation"`
-	// Capacity is in cores.
+	// Capacity is the number of cores.
 	Capacity float64 `json:"capacity,omitempty"`
 }
 
-// reignRecord is a service's leadership, as the fleet ordered it.
-type reignRecord struct {
+// leadershipRecord is the stored leadership record of a service.
+type leadershipRecord struct {
 	Primary target.ID      `json:"primary,omitempty"`
 	Holder  string         `json:"holder,omitempty"`
 	Attempt *attemptRecord `json:"attempt,omitempty"`
-	// Era is the store's as the record was written.
+	// Era is the store's era in which the record was written.
 	Era int64 `json:"era,omitempty"`
 }
 
@@ -55,20 +55,20 @@
 	return catalog.VM{ID: node, Zone: r.Zone, Peer: r.Peer, Incarnation: r.Incarnation, Capacity: r.Capacity}, nil
 }
 
-// fleetFollower takes over the fleet's own records.
+// fleetFollower applies changes of the fleet's own objects to the catalog.
 type fleetFollower struct {
-	edge   *Edge
-	vms    map[string]catalog.VM
-	reigns map[string]*catalog.Reign
+	edge    *Edge
+	vms     map[string]catalog.VM
+	records map[string]*catalog.Reign
 }
 
 func newFleetFollower(e *Edge) *fleetFollower {
-	return &fleetFollower{edge: e, vms: make(map[string]catalog.VM), reigns: make(map[string]*catalog.Reign)}
+	return &fleetFollower{edge: e, vms: make(map[string]catalog.VM), records: make(map[string]*catalog.Reign)}
 }
 
 func (f *fleetFollower) replace(items map[string]*objects.Object) {
 	clear(f.vms)
-	clear(f.reigns)
+	clear(f.records)
 	for _, o := range items {
 		f.apply(o, false)
 	}
@@ -79,17 +79,17 @@
 		f.applyVM(node, o, deleted)
 		return
 	}
-	service, ok := strings.CutPrefix(o.Meta.Name, prefixReign)
+	service, ok := strings.CutPrefix(o.Meta.Name, prefixLeadership)
 	if !ok || deleted {
 		return
 	}
-	r, err := decodeReign(service, o)
+	r, err := decodeLeadershipRecord(service, o)
 	if err != nil {
 		f.edge.log.Error("record-refused", zap.String("name", o.Meta.Name), zap.Error(err))
 		return
 	}
-	if old := f.reigns[service]; old == nil || old.Revision < r.Revision {
-		f.reigns[service] = r
+	if old := f.records[service]; old == nil || old.Revision < r.Revision {
+		f.records[service] = r
 	}
 }
 
@@ -106,10 +106,10 @@
 	f.vms[node] = vm
 }
 
-func decodeReign(service string, o *objects.Object) (*catalog.Reign, error) {
-	var r reignRecord
+func decodeLeadershipRecord(service string, o *objects.Object) (*catalog.Reign, error) {
+	var r leadershipRecord
 	if err := json.Unmarshal(o.Spec, &r); err != nil {
-		return nil, errors.Wrap(err, "decode reign")
+		return nil, errors.Wrap(err, "decode leadership record")
 	}
 	out := &catalog.Reign{Service: service, Revision: o.Meta.Revision, Primary: r.Primary, Holder: r.Holder, Era: r.Era}
 	if r.Attempt != nil {
@@ -118,18 +118,18 @@
 	return out, nil
 }
 
-func (f *fleetFollower) heard(revision int64, at clock.Time) {
-	f.edge.confirm(recency.Fleet, revision, at)
+func (f *fleetFollower) confirm(revision int64, at clock.Time) {
+	f.edge.recordConfirmation(recency.Fleet, revision, at)
 }
 
-func (f *fleetFollower) settle(revision int64) {
+func (f *fleetFollower) publish(revision int64) {
 	vms := make([]catalog.VM, 0, len(f.vms))
 	for _, vm := range f.vms {
 		vms = append(vms, vm)
 	}
-	reigns := make(map[string]*catalog.Reign, len(f.reigns))
-	for service, r := range f.reigns {
-		reigns[service] = r
+	records := make(map[string]*catalog.Reign, len(f.records))
+	for service, r := range f.records {
+		records[service] = r
 	}
-	f.edge.catalog.SetFleet(vms, reigns, revision)
+	f.edge.catalog.SetFleet(vms, records, revision)
 }
--- a/edge/followers.go
+++ b/edge/followers.go
@@ -19,10 +19,10 @@
 	kindTargets = published.KindTargets
 )
 
-// configFollower takes over the operator's configuration.
+// configFollower applies the operator's configuration to the catalog.
 type configFollower struct {
 	edge *Edge
-	// refused is set while the store's version is one that cannot be decoded.
+	// refused is set while the store's version cannot be decoded.
 	refused bool
 }
 
@@ -47,35 +47,35 @@
 	}
 }
 
-func (f *configFollower) settle(int64) {}
+func (f *configFollower) publish(int64) {}
 
-func (f *configFollower) heard(revision int64, at clock.Time) {
+func (f *configFollower) confirm(revision int64, at clock.Time) {
 	if !f.refused {
-		f.edge.confirm(recency.Config, revision, at)
+		f.edge.recordConfirmation(recency.Config, revision, at)
 	}
 }
 
-// lostGrace is how long a target whose entry vanished without notice is kept.
+// removalGrace is how long a target is retained after its entry was removed without a drain.
 //
-// Failure guarded against: entries lapse while the store is down, though their
-// targets live, and are back about two seconds after its return. Without the
-// grace every session would lose all targets of its service at once.
-const lostGrace = 2500 * time.Millisecond
+// Failure guarded against: entries expire while the store is down although their targets are
+// running, and return about two seconds after the store does. Without the grace period every
+// session would lose all targets of its service at once.
+const removalGrace = 2500 * time.Millisecond
 
-// targetFollower takes over the entries of targets.
+// targetFollower applies the entries of targets to the catalog.
 type targetFollower struct {
-	edge    *Edge
-	mu      sync.Mutex
-	targets map[target.ID]*catalog.Target
-	lost    map[target.ID]*time.Timer
-	// refused says why an entry that is there names no target.
+	edge     *Edge
+	mu       sync.Mutex
+	targets  map[target.ID]*catalog.Target
+	removals map[target.ID]*time.Timer
+	// refused holds the reason why an existing entry does not describe a target.
 	refused map[target.ID]string
-	// revision is the store's up to which targets is complete.
+	// revision is the store's revision up to which targets is complete.
 	revision int64
 }
 
 func newTargetFollower(e *Edge) *targetFollower {
-	return &targetFollower{edge: e, targets: make(map[target.ID]*catalog.Target), lost: make(map[target.ID]*time.Timer), refused: make(map[target.ID]string)}
+	return &targetFollower{edge: e, targets: make(map[target.ID]*catalog.Target), removals: make(map[target.ID]*time.Timer), refused: make(map[target.ID]string)}
 }
 
 func (f *targetFollower) replace(items map[string]*objects.Object) {
@@ -83,7 +83,7 @@
 	defer f.mu.Unlock()
 	for id := range f.targets {
 		if items[string(id)] == nil {
-			f.lose(id)
+			f.entryRemoved(id)
 		}
 	}
 	for id := range f.refused {
@@ -92,7 +92,7 @@
 		}
 	}
 	for _, o := range items {
-		f.take(o)
+		f.put(o)
 	}
 }
 
@@ -101,22 +101,22 @@
 	defer f.mu.Unlock()
 	if deleted {
 		delete(f.refused, target.ID(o.Meta.Name))
-		f.lose(target.ID(o.Meta.Name))
+		f.entryRemoved(target.ID(o.Meta.Name))
 		return
 	}
-	f.take(o)
+	f.put(o)
 }
 
-func (f *targetFollower) take(o *objects.Object) {
+func (f *targetFollower) put(o *objects.Object) {
 	t, err := published.Target(o)
 	if err != nil {
 		f.refuse(target.ID(o.Meta.Name), err)
 		return
 	}
 	delete(f.refused, t.ID)
-	if timer := f.lost[t.ID]; timer != nil {
+	if timer := f.removals[t.ID]; timer != nil {
 		timer.Stop()
-		delete(f.lost, t.ID)
+		delete(f.removals, t.ID)
 	}
 	old := f.targets[t.ID]
 	f.targets[t.ID] = t
@@ -126,64 +126,63 @@
 	}
 }
 
-// maxRefused bounds the refused entries that are remembered, 200 B each.
+// maxRefused bounds the number of refused entries that are remembered, at 200 B each.
 const maxRefused = 1000
 
-// refuse takes an entry that names no target for one that is not there.
+// refuse treats an entry that does not describe a target as a removed entry.
 //
-// Failure guarded against: another writer's words in the place of a target's entry.
-// Taken for the target's own they would send requests nowhere; kept out for good
-// they would hide that the target is gone. The target itself writes about every
-// second, so that its last good word holds until its next one is due, as after an
-// entry that lapsed. It is logged once for each cause, however often it is written.
+// Failure guarded against: another writer overwrites a target's entry. Applied as the target's own,
+// it would direct requests to a wrong address; ignored for good, it would hide that the target was
+// removed. The target rewrites its entry about every second, so its last valid entry stays in force
+// until the next one is due, as after an entry that expired. Each cause is logged once, however
+// often the entry is written.
 func (f *targetFollower) refuse(id target.ID, cause error) {
 	if f.refused[id] != cause.Error() && len(f.refused) < maxRefused {
 		f.refused[id] = cause.Error()
 		f.edge.log.Error("target-refused", zap.String("target", string(id)), zap.Bool("known", f.targets[id] != nil), zap.Error(cause))
 	}
-	f.loseLater(id)
+	f.removeLater(id)
 }
 
-// lose takes a target out: at once if it had said that it leaves, and else
-// after the grace.
-func (f *targetFollower) lose(id target.ID) {
+// entryRemoved removes a target: at once if it was draining, and otherwise after removalGrace.
+func (f *targetFollower) entryRemoved(id target.ID) {
 	t := f.targets[id]
-	if t != nil && t.Draining && f.lost[id] == nil {
+	if t != nil && t.Draining && f.removals[id] == nil {
 		f.remove(id, "left")
 		return
 	}
-	f.loseLater(id)
+	f.removeLater(id)
 }
 
-// loseLater takes a target out after the grace, unless its entry comes back.
-func (f *targetFollower) loseLater(id target.ID) {
-	if f.targets[id] == nil || f.lost[id] != nil {
+// removeLater removes a target after removalGrace, unless its entry returns.
+func (f *targetFollower) removeLater(id target.ID) {
+	if f.targets[id] == nil || f.removals[id] != nil {
 		return
 	}
-	f.lost[id] = time.AfterFunc(lostGrace, func() {
+	f.removals[id] = time.AfterFunc(removalGrace, func() {
 		f.mu.Lock()
-		if f.lost[id] == nil {
+		if f.removals[id] == nil {
 			f.mu.Unlock()
 			return
 		}
 		f.remove(id, "lost")
 		revision := f.revision
 		f.mu.Unlock()
-		f.settle(revision)
+		f.publish(revision)
 	})
 }
 
-func (f *targetFollower) remove(id target.ID, why string) {
+func (f *targetFollower) remove(id target.ID, reason string) {
 	delete(f.targets, id)
-	delete(f.lost, id)
-	f.edge.log.Info("target-gone", zap.String("target", string(id)), zap.String("reason", why))
+	delete(f.removals, id)
+	f.edge.log.Info("target-gone", zap.String("target", string(id)), zap.String("reason", reason))
 }
 
-func (f *targetFollower) heard(revision int64, at clock.Time) {
-	f.edge.confirm(recency.Targets, revision, at)
+func (f *targetFollower) confirm(revision int64, at clock.Time) {
+	f.edge.recordConfirmation(recency.Targets, revision, at)
 }
 
-func (f *targetFollower) settle(revision int64) {
+func (f *targetFollower) publish(revision int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.revision = revision
--- a/edge/choked_test.go
+++ b/edge/fulllink_test.go
@@ -7,9 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a VM that cannot hear over its own full link, and replaces a primary that serves all others.
+// Guards against: a VM that receives nothing because its own link is saturated, and replaces a
+// primary that serves all others.
 func TestVMWithAFullLinkReplacesNoPrimary(t *testing.T) {
-	play(t, 9, func(f *fleet) {
+	runFleet(t, 9, func(f *fleet) {
 		calls := f.traffic()
 		time.Sleep(3 * time.Second)
 		for range 3 {
@@ -20,7 +21,7 @@
 		}
 		calls.End()
 		_, attempted := f.world.Store.Get("endivemoor", "reign."+service)
-		require.False(t, attempted, "an attempt was recorded")
-		f.fair()
+		require.False(t, attempted, "want no promotion attempt recorded")
+		f.checkInvariants()
 	})
 }
--- a/edge/gateway_test.go
+++ b/edge/gateway_test.go
@@ -17,13 +17,13 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// scarce is a deployment whose targets take fewer connections than there are
+// runScarce runs a scenario on a deployment whose targets accept fewer connections than there are
 // VMs, so that nine VMs share two gateways to each target.
-func scarce(t *testing.T, scenario func(f *fleet)) {
-	playOn(t, 9, database.Options{MaxConnections: 9}, scenario)
+func runScarce(t *testing.T, scenario func(f *fleet)) {
+	runFleetWith(t, 9, database.Options{MaxConnections: 9}, scenario)
 }
 
-// scarceCatalog is what every VM of such a fleet knows that its plan goes by.
+// scarceCatalog returns the part of the catalog of such a fleet that determines the assignment.
 func scarceCatalog(f *fleet) *catalog.Catalog {
 	c := &catalog.Catalog{Config: &catalog.Config{Services: map[string]*catalog.Service{service: {MaxConnections: 9}}}}
 	for i := range len(f.vms) {
@@ -32,8 +32,8 @@
 	return c
 }
 
-// roles returns the gateways to a target, and the VMs that go through them.
-func roles(f *fleet, id target.ID, zone string) (holders, others []string) {
+// splitByGateway returns the gateways to a target, and the VMs that use them.
+func splitByGateway(f *fleet, id target.ID, zone string) (holders, others []string) {
 	c := scarceCatalog(f)
 	to := &catalog.Target{ID: id, Service: service, Zone: zone}
 	for _, vm := range c.VMs {
@@ -51,11 +51,11 @@
 	return gateways.NewPlan(self, scarceCatalog(f)).Route(&catalog.Target{ID: "ledger-0", Service: service, Zone: "a"}, "")[0].ID
 }
 
-// Nine VMs stand before targets that take nine connections each, a tenth of them
-// for the fleet's own questions. All VMs serve purchases, reads and transactions
-// at once, and none is turned away for want of a connection.
+// Guards against: VMs that are refused for lack of connections. Each target accepts nine
+// connections for nine VMs, a tenth of them for the fleet's own status queries. All VMs serve
+// writes, reads and transactions at once.
 func TestScarceConnectionsServeAllVMs(t *testing.T) {
-	scarce(t, func(f *fleet) {
+	runScarce(t, func(f *fleet) {
 		var failed atomic.Int64
 		var wait sync.WaitGroup
 		for name := range f.vms {
@@ -79,16 +79,16 @@
 		}
 		wait.Wait()
 		require.Zero(t, failed.Load())
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// A VM sells through a gateway that dies between two statements of the
-// transaction. The target rolls it back as its connection ends; the consumer is
-// told that nothing was kept, and the next sale goes through another VM.
+// Guards against: a partly applied transaction or an unusable session after a gateway dies between
+// two statements. The target rolls the transaction back when its connection ends, the consumer
+// receives an error, and the next write uses another gateway.
 func TestGatewayDiesWithinATransaction(t *testing.T) {
-	scarce(t, func(f *fleet) {
-		_, others := roles(f, "ledger-0", "a")
+	runScarce(t, func(f *fleet) {
+		_, others := splitByGateway(f, "ledger-0", "a")
 		c := f.session(others[0], exact)
 		require.True(t, c.Query("BEGIN").OK())
 		require.True(t, c.Query("WRITE seat taken").OK())
@@ -98,16 +98,16 @@
 		require.Equal(t, "I", a.State)
 		require.Equal(t, []string{"none"}, c.Query("READ seat").Rows)
 		require.True(t, c.Query("WRITE seat taken").OK())
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// A gateway falls silent while a purchase is on its way through it. Whether the
-// target ran it is not known, and the consumer must hear just that; the next one
-// need not wait for the silent VM.
+// Guards against: a wrong result for a write whose gateway became unreachable, and a second delay
+// by the same gateway. It is unknown whether the target ran the write, and the consumer must
+// receive exactly that; the next write does not wait for the unreachable VM.
 func TestSilentGatewayLeavesAWriteInDoubt(t *testing.T) {
-	scarce(t, func(f *fleet) {
-		_, others := roles(f, "ledger-0", "a")
+	runScarce(t, func(f *fleet) {
+		_, others := splitByGateway(f, "ledger-0", "a")
 		via := firstGateway(f, others[0])
 		c := f.session(others[0], exact)
 		require.True(t, c.Query("WRITE a 1").OK())
@@ -117,16 +117,15 @@
 		require.True(t, c.Query("WRITE a 3").OK())
 		require.Less(t, time.Since(start), 300*time.Millisecond)
 		require.Equal(t, []string{"3"}, c.Query("READ a").Rows)
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// A VM dies in the middle of transactions that are open at its gateways. They
-// are rolled back there, and the connections serve others again: were they kept,
-// a handful of dead VMs would leave a target without any.
+// Guards against: connections that stay occupied by transactions of dead VMs, so that a few of them
+// use up a target. The gateways roll these transactions back and reuse the connections.
 func TestDeadVMsTransactionsEndAtTheGateway(t *testing.T) {
-	scarce(t, func(f *fleet) {
-		_, others := roles(f, "ledger-0", "a")
+	runScarce(t, func(f *fleet) {
+		_, others := splitByGateway(f, "ledger-0", "a")
 		var open []string
 		for _, vm := range others[:3] {
 			for range 2 {
@@ -146,22 +145,21 @@
 		for range 4 {
 			s := f.session(others[3], exact)
 			s.Query("BEGIN")
-			require.True(t, s.Query("WRITE seat4 x").OK(), "a connection is free")
+			require.True(t, s.Query("WRITE seat4 x").OK(), "a connection is available")
 			sold = append(sold, s)
 		}
 		for _, s := range sold {
 			s.Query("ROLLBACK")
 		}
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// A gateway is stopped as planned while a consumer of another VM rests between
-// two statements of a transaction. The transaction ends as usual, and new work
-// goes elsewhere at once.
+// Guards against: a planned stop of a gateway that aborts an open transaction of another VM. The
+// transaction ends as usual, and new work uses another gateway at once.
 func TestLeavingGatewayLetsTransactionsEnd(t *testing.T) {
-	scarce(t, func(f *fleet) {
-		_, others := roles(f, "ledger-0", "a")
+	runScarce(t, func(f *fleet) {
+		_, others := splitByGateway(f, "ledger-0", "a")
 		c := f.session(others[0], exact)
 		require.True(t, c.Query("BEGIN").OK())
 		require.True(t, c.Query("WRITE seat taken").OK())
@@ -170,17 +168,16 @@
 		require.True(t, c.Query("WRITE seat2 taken").OK())
 		require.True(t, c.Query("COMMIT").OK())
 		require.True(t, c.Query("WRITE seat3 taken").OK())
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// All connections to a target are held by transactions whose consumers rest, and
-// a purchase waits for one at the gateway in vain. It was never sent: its consumer
-// must hear that it has not run, and not that it is in doubt, as if the gateway
-// had not answered in time.
+// Guards against: a write that waited for a connection at the gateway in vain and is reported in
+// doubt, as if the gateway had timed out. Idle transactions hold all connections to the target, so
+// the write was never sent and the consumer must receive that it has not run.
 func TestPurchaseThatWaitedInVainAtTheGatewayHasNotRun(t *testing.T) {
-	scarce(t, func(f *fleet) {
-		_, others := roles(f, "ledger-0", "a")
+	runScarce(t, func(f *fleet) {
+		_, others := splitByGateway(f, "ledger-0", "a")
 		for i := range 12 {
 			c := f.session(others[i%len(others)], exact)
 			c.Query("BEGIN")
@@ -191,14 +188,14 @@
 		a := f.session(others[0], exact).Query("WRITE seat taken")
 		require.Equal(t, "BUSY", a.Code, "%+v", a)
 		require.Contains(t, a.Text, "retry-after-ms=")
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// Guards against a question to a replica for each sale of a VM that sells seldom.
+// Guards against: a status query to a replica for each write of a VM that writes rarely.
 func TestSalesThroughGatewaysNeedFewQuestions(t *testing.T) {
 	const vms, sales = 30, 8
-	playOn(t, vms, database.Options{MaxConnections: 20}, func(f *fleet) {
+	runFleetWith(t, vms, database.Options{MaxConnections: 20}, func(f *fleet) {
 		var wait sync.WaitGroup
 		var failed atomic.Int64
 		before := f.group.Questions()
@@ -219,29 +216,29 @@
 		}
 		wait.Wait()
 		require.Zero(t, failed.Load())
-		asked := f.group.Questions() - before
-		t.Logf("%d questions for %d statements", asked, 2*vms*sales)
-		require.Less(t, asked, int64(2*vms*sales)/4)
-		f.fair()
+		queries := f.group.Questions() - before
+		t.Logf("%d status queries for %d statements", queries, 2*vms*sales)
+		require.Less(t, queries, int64(2*vms*sales)/4)
+		f.checkInvariants()
 	})
 }
 
-// paced is how sessions read: each so often, one begins apart from the next.
-type paced struct {
-	reads        int
-	every, apart time.Duration
-	// slow is how long a read takes at least that counts as slow.
+// readPace sets how sessions read: how many reads each session makes and at which interval, and the
+// stagger between the starts of sessions.
+type readPace struct {
+	reads             int
+	interval, stagger time.Duration
+	// slow is the duration from which a read counts as slow.
 	slow time.Duration
 }
 
-// readByTurns lets sessions read beside each other, and counts reads that failed and
-// that were slow.
-func readByTurns(sessions map[string]*consumer.Session, p paced) (failed, slow int64) {
+// readConcurrently lets sessions read concurrently, and counts failed and slow reads.
+func readConcurrently(sessions map[string]*consumer.Session, p readPace) (failed, slow int64) {
 	var wait sync.WaitGroup
-	var failures, late atomic.Int64
+	var failures, slowReads atomic.Int64
 	number := 0
 	for _, session := range sessions {
-		start := time.Duration(number) * p.apart
+		start := time.Duration(number) * p.stagger
 		number++
 		wait.Go(func() {
 			time.Sleep(start)
@@ -251,20 +248,21 @@
 					failures.Add(1)
 				}
 				if time.Since(sent) > p.slow {
-					late.Add(1)
+					slowReads.Add(1)
 				}
-				time.Sleep(p.every)
+				time.Sleep(p.interval)
 			}
 		})
 	}
 	wait.Wait()
-	return failures.Load(), late.Load()
+	return failures.Load(), slowReads.Load()
 }
 
-// Guards against reads that wait for silent replicas, and a call to the store for each of them.
+// Guards against: reads that wait for unreachable replicas, and a call to the store for each of
+// these reads.
 func TestSalesGoOnWhileReplicasAreOutOfReach(t *testing.T) {
 	const vms, reads = 30, 10
-	playOn(t, vms, database.Options{MaxConnections: 20}, func(f *fleet) {
+	runFleetWith(t, vms, database.Options{MaxConnections: 20}, func(f *fleet) {
 		sessions := make(map[string]*consumer.Session)
 		for name := range f.vms {
 			sessions[name] = f.session(name, exact)
@@ -274,22 +272,23 @@
 		}
 		time.Sleep(3 * time.Second)
 		before := f.world.Store.Calls()
-		failed, slow := readByTurns(sessions, paced{reads: reads, every: time.Second, apart: 31 * time.Millisecond, slow: 250 * time.Millisecond})
+		failed, slow := readConcurrently(sessions, readPace{reads: reads, interval: time.Second, stagger: 31 * time.Millisecond, slow: 250 * time.Millisecond})
 		calls := f.world.Store.Calls() - before
 		t.Logf("%d failed, %d slow, %d calls", failed, slow, calls)
 		require.Zero(t, failed)
 		require.Less(t, slow, int64(vms*reads)/20)
-		// Two gateways renew their witness at most three times a second each, beside
-		// the watches of six VMs.
+		// Two gateways renew their witness at most three times a second each, in addition to the
+		// watches of six VMs.
 		require.Less(t, calls, 2*3*reads+6*3*reads)
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// Guards against a silent gateway that each VM finds out about by itself, again after each pause.
-func TestOneVMsExperienceSparesTheOthers(t *testing.T) {
+// Guards against: an unreachable gateway that each VM has to detect by itself, again after each
+// backoff.
+func TestUnreachableGatewayIsReportedToOtherVMs(t *testing.T) {
 	const vms, rounds = 30, 60
-	playOn(t, vms, database.Options{MaxConnections: 20}, func(f *fleet) {
+	runFleetWith(t, vms, database.Options{MaxConnections: 20}, func(f *fleet) {
 		sessions := make(map[string]*consumer.Session)
 		c := &catalog.Catalog{Config: &catalog.Config{Services: map[string]*catalog.Service{service: {MaxConnections: 20}}}}
 		for name, vm := range f.vms {
@@ -298,25 +297,26 @@
 			c.VMs = append(c.VMs, catalog.VM{ID: name, Zone: vm.zone})
 		}
 		primary := &catalog.Target{ID: "ledger-0", Service: service, Zone: "a"}
-		silent := gateways.Choose(primary, c.VMs, 2)[0].ID
+		unreachable := gateways.Choose(primary, c.VMs, 2)[0].ID
 		for name := range f.vms {
-			if name != silent {
-				f.world.Net.Cut(name, silent)
+			if name != unreachable {
+				f.world.Net.Cut(name, unreachable)
 			}
 		}
-		delete(sessions, silent)
-		failed, slow := readByTurns(sessions, paced{reads: rounds, every: 100 * time.Millisecond, apart: 7 * time.Millisecond, slow: 100 * time.Millisecond})
+		delete(sessions, unreachable)
+		failed, slow := readConcurrently(sessions, readPace{reads: rounds, interval: 100 * time.Millisecond, stagger: 7 * time.Millisecond, slow: 100 * time.Millisecond})
 		t.Logf("%d slow, %d failed", slow, failed)
 		require.Zero(t, failed)
-		require.Less(t, slow, int64(vms), "not once for each VM")
-		f.fair()
+		require.Less(t, slow, int64(vms), "fewer slow reads than one for each VM")
+		f.checkInvariants()
 	})
 }
 
-// Guards against a stale exact read at a VM that is cut off together with its gateway and a superseded primary.
+// Guards against: an outdated exact read at a VM that is partitioned together with its gateway and
+// a superseded primary.
 func TestCutOffGatewayProvesNothingForLong(t *testing.T) {
-	scarce(t, func(f *fleet) {
-		_, others := roles(f, "ledger-0", "a")
+	runScarce(t, func(f *fleet) {
+		_, others := splitByGateway(f, "ledger-0", "a")
 		reader := others[0]
 		gateway := firstGateway(f, reader)
 		seller := ""
@@ -355,14 +355,14 @@
 				read++
 				seen, err := strconv.ParseInt(a.Rows[0], 10, 64)
 				require.NoError(t, err)
-				require.GreaterOrEqual(t, seen, before, "a stale read was proven")
+				require.GreaterOrEqual(t, seen, before, "an outdated read was accepted as exact")
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 		wait.Wait()
 		require.Positive(t, read)
-		require.Positive(t, sold.Load(), "another target leads")
+		require.Positive(t, sold.Load(), "another target confirmed writes")
 		require.NotEqual(t, "ledger-0", f.group.Leader())
-		f.fair()
+		f.checkInvariants()
 	})
 }
--- a/edge/gossip.go
+++ b/edge/gossip.go
@@ -27,37 +27,37 @@
 )
 
 const (
-	// pullEvery is how often a VM asks some peers: news reach a dozen VMs in about
+	// pullInterval is how often a VM pulls from some peers. An update reaches a dozen VMs in about
 	// twice that time.
-	pullEvery = 200 * time.Millisecond
-	// peerPause is how long a peer that did not answer is left alone.
-	peerPause = time.Second
-	// storeAge is how old the fleet's list may be for a permission to go by it.
-	// It is above fleetWait, and far below sweepAfter.
-	storeAge = 12 * time.Second
-	// proofAge is the age beyond which a proof is of no use to anybody.
-	proofAge = 2 * time.Second
+	pullInterval = 200 * time.Millisecond
+	// peerBackoff is how long a peer that did not answer is not contacted.
+	peerBackoff = time.Second
+	// maxFleetListAge is the maximum age of this VM's copy of the fleet's list for holding a
+	// permission. It is above fleetWait, and far below sweepAfter.
+	maxFleetListAge = 12 * time.Second
+	// maxProofAge is the age from which a proof is useless to every VM.
+	maxProofAge = 2 * time.Second
 )
 
-// gossiper pulls from peers, and answers them.
+// gossiper pulls updates from peers and answers their pulls.
 type gossiper struct {
-	edge     *Edge
-	clients  *gossip.Clients
-	peers    atomic.Pointer[partners.Peers]
-	whole    atomic.Bool // set if whole lists are to be asked for, until one came
-	outcomes pullOutcomes
-	fetching atomic.Bool // set while a bulk is read
+	edge       *Edge
+	clients    *gossip.Clients
+	peers      atomic.Pointer[partners.Peers]
+	wholeLists atomic.Bool // set if whole lists are to be requested, until one arrives
+	outcomes   pullOutcomes
+	fetching   atomic.Bool // set while a bulk is read
 
-	mu     sync.Mutex
-	paused map[string]clock.Time // by address, until when
-	silent map[string]clock.Time // by VM, since when
-	rnd    *rand.Rand
+	mu               sync.Mutex
+	backoffUntil     map[string]clock.Time // end of the backoff, by address
+	unreachableSince map[string]clock.Time // time of the first failure, by VM
+	rnd              *rand.Rand
 }
 
 func newGossiper(e *Edge) *gossiper {
 	return &gossiper{
 		edge: e, clients: gossip.NewClients(e.dialFor(spending.Gossip), e.clk),
-		paused: make(map[string]clock.Time), silent: make(map[string]clock.Time),
+		backoffUntil: make(map[string]clock.Time), unreachableSince: make(map[string]clock.Time),
 		rnd:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		outcomes: newPullOutcomes(e.log, e.metrics, e.started),
 	}
@@ -71,16 +71,16 @@
 	return gossip.NewHTTPServer(mux).Serve(ln)
 }
 
-// Know implements gossip.Source.
+// State implements gossip.Source.
 func (g *gossiper) Know() gossip.Knowledge {
 	now := g.edge.clk.Now()
 	c := g.edge.catalog.Load()
 	k := gossip.Knowledge{
 		Catalog: c, Proofs: make(map[string]freshness.Proof), Acknowledged: make(map[string]timeline.Position),
-		Marks: g.edge.marks(c), Silences: g.edge.router.Silences(),
+		Marks: g.edge.confirmations(c), Silences: g.edge.router.Silences(),
 	}
 	for _, group := range g.edge.groups.Used() {
-		if p, ok := group.Freshness.Newest(); ok && now.Sub(p.At) < proofAge {
+		if p, ok := group.Freshness.Newest(); ok && now.Sub(p.At) < maxProofAge {
 			k.Proofs[group.Service] = p
 			k.Acknowledged[group.Service] = group.Acknowledged.Bound()
 		}
@@ -95,21 +95,21 @@
 	return group.Acknowledged.Bound()
 }
 
-// eligible reports whether this VM is surely on the list by which others ask
-// for permissions: the list is young and of the store's present era, and this run of the
-// VM is on it.
+// eligible reports whether this VM is certain to be on the list from which other VMs request
+// permissions: the list is recent and of the store's current era, and it has an entry with this
+// VM's incarnation.
 func (g *gossiper) eligible() bool {
-	if g.edge.ends.leaving.Load() || g.edge.evidenceAge(recency.Fleet) > storeAge {
+	if g.edge.shutdown.leaving.Load() || g.edge.evidenceAge(recency.Fleet) > maxFleetListAge {
 		return false
 	}
 	c := g.edge.catalog.Load()
-	vm, ok := c.VM(g.edge.set.Node)
+	vm, ok := c.VM(g.edge.settings.Node)
 	return catalog.EraOf(c.FleetRevision) == g.edge.eras.current() && ok && vm.Incarnation == g.edge.incarnation
 }
 
 // run pulls until ctx ends.
 func (g *gossiper) run(ctx context.Context) {
-	tick := time.NewTicker(pullEvery)
+	tick := time.NewTicker(pullInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -117,58 +117,58 @@
 		case <-ctx.Done():
 			return
 		}
-		if !g.knowsPeers() && g.storeWillTell() {
+		if !g.hasPeers() && g.skipsSeeds() {
 			continue
 		}
-		for _, vm := range g.choose() {
+		for _, vm := range g.choosePeers() {
 			go g.pull(ctx, vm)
 		}
 	}
 }
 
-// storeWillTell reports whether a VM that knows no peer leaves the seeds in peace: while
-// the fleet starts for the first time all of it would ask the same three VMs, again and
-// again, which know nothing that the store does not tell it in that time.
-func (g *gossiper) storeWillTell() bool {
-	return g.edge.set.FirstStart && g.edge.clk.Now().Sub(g.edge.started) < g.edge.firstNews()
+// skipsSeeds reports whether a VM without known peers does not contact the seeds yet. During the
+// first start of a fleet all its VMs would pull repeatedly from the same three seeds, which have
+// nothing that the store does not provide within that time.
+func (g *gossiper) skipsSeeds() bool {
+	return g.edge.settings.FirstStart && g.edge.clk.Now().Sub(g.edge.started) < g.edge.firstUpdateTimeout()
 }
 
-func (g *gossiper) knowsPeers() bool {
+func (g *gossiper) hasPeers() bool {
 	peers := g.peers.Load()
 	return peers != nil && !peers.None()
 }
 
-// choose draws the peers of one round. A VM that knows none yet asks the
-// addresses that its settings name.
-func (g *gossiper) choose() []catalog.VM {
+// choosePeers selects the peers of one round. A VM without known peers uses the seed addresses from
+// its settings.
+func (g *gossiper) choosePeers() []catalog.VM {
 	peers := g.peers.Load()
-	if !g.knowsPeers() {
+	if !g.hasPeers() {
 		peers = partners.Of("", "", g.seeds())
 	}
 	now := g.edge.clk.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	rests := func(vm catalog.VM) bool { return now.Before(g.paused[vm.Peer]) }
-	return peers.Draw(rests, g.rnd)
+	inBackoff := func(vm catalog.VM) bool { return now.Before(g.backoffUntil[vm.Peer]) }
+	return peers.Draw(inBackoff, g.rnd)
 }
 
-// seeds are the VMs that the settings name, by their addresses.
+// seeds returns the VMs that the settings name, identified by their addresses.
 func (g *gossiper) seeds() []catalog.VM {
 	var out []catalog.VM
-	for _, addr := range g.edge.set.Seeds {
-		if addr != g.edge.set.Listen.Control {
+	for _, addr := range g.edge.settings.Seeds {
+		if addr != g.edge.settings.Listen.Control {
 			out = append(out, catalog.VM{ID: addr, Peer: addr})
 		}
 	}
 	return out
 }
 
-// question asks for the proofs of the services that this VM uses.
+// pullOptions requests the proofs of the services that this VM uses.
 //
-// Failure guarded against: every proof reaches every VM, whether anybody there
-// needs it or not. At 2,900 services that is 1.4 MB a second for each VM.
-func (g *gossiper) question() gossip.Question {
-	q := gossip.Question{Self: g.edge.set.Node, Known: g.edge.catalog.Load(), Selects: !g.edge.groups.Few(), Whole: g.whole.Load()}
+// Failure guarded against: every proof is sent to every VM, needed there or not. At 2,900 services
+// that is 1.4 MB a second for each VM.
+func (g *gossiper) pullOptions() gossip.Question {
+	q := gossip.Question{Self: g.edge.settings.Node, Known: g.edge.catalog.Load(), Selects: !g.edge.groups.Few(), Whole: g.wholeLists.Load()}
 	if q.Selects {
 		for _, group := range g.edge.groups.Used() {
 			q.Services = append(q.Services, group.Service)
@@ -178,29 +178,29 @@
 }
 
 func (g *gossiper) pull(ctx context.Context, vm catalog.VM) {
-	q := g.question()
-	news, err := g.clients.Pull(ctx, vm.Peer, q)
+	q := g.pullOptions()
+	update, err := g.clients.Pull(ctx, vm.Peer, q)
 	now := g.edge.clk.Now()
-	g.outcomes.note(now, vm.ID, err)
+	g.outcomes.record(now, vm.ID, err)
 	g.mu.Lock()
 	if err != nil {
-		g.paused[vm.Peer] = now.Add(peerPause)
-		if g.silent[vm.ID] == 0 {
-			g.silent[vm.ID] = now
+		g.backoffUntil[vm.Peer] = now.Add(peerBackoff)
+		if g.unreachableSince[vm.ID] == 0 {
+			g.unreachableSince[vm.ID] = now
 		}
 		g.mu.Unlock()
 		return
 	}
-	delete(g.paused, vm.Peer)
-	delete(g.silent, vm.ID)
+	delete(g.backoffUntil, vm.Peer)
+	delete(g.unreachableSince, vm.ID)
 	g.mu.Unlock()
-	g.take(news)
-	g.fetch(ctx, vm, q, news.Bulks)
+	g.apply(update)
+	g.fetch(ctx, vm, q, update.Bulks)
 }
 
-// fetch reads the lists that were too large for a peer's answer, one at a time: two would
-// share this VM's link, and the same list from two peers would fill it twice. What is
-// not read now is offered again by whoever is asked next.
+// fetch reads the lists that were too large for a peer's reply, one at a time: two concurrent reads
+// would share this VM's link, and the same list from two peers would use it twice. A list that is
+// not read now is offered again by the next peer that is pulled from.
 func (g *gossiper) fetch(ctx context.Context, vm catalog.VM, q gossip.Question, bulks []gossip.Bulk) {
 	if len(bulks) == 0 || g.fetching.Swap(true) {
 		return
@@ -208,18 +208,18 @@
 	defer g.fetching.Store(false)
 	for _, b := range bulks {
 		began := g.edge.clk.Now()
-		news, err := g.clients.Fetch(ctx, vm.Peer, q, b)
+		update, err := g.clients.Fetch(ctx, vm.Peer, q, b)
 		g.edge.log.Info("bulk-read", zap.String("peer", vm.ID), zap.Int("bytes", b.Size()), zap.Duration("took", g.edge.clk.Now().Sub(began)), zap.Error(err))
 		if err != nil {
 			return
 		}
-		g.take(news)
+		g.apply(update)
 	}
 }
 
-// keep takes over the fleet's list, and forgets peers that are no longer on it.
-func (g *gossiper) keep(c *catalog.Catalog) {
-	g.peers.Store(partners.Of(g.edge.set.Node, g.edge.set.Zone, c.VMs))
+// updatePeers sets the peers from the fleet's list and forgets those that are no longer on it.
+func (g *gossiper) updatePeers(c *catalog.Catalog) {
+	g.peers.Store(partners.Of(g.edge.settings.Node, g.edge.settings.Zone, c.VMs))
 	addrs, names := make(map[string]bool, len(c.VMs)), make(map[string]bool, len(c.VMs))
 	for _, vm := range c.VMs {
 		addrs[vm.Peer], names[vm.ID] = true, true
@@ -227,39 +227,39 @@
 	g.clients.Keep(addrs)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for vm := range g.silent {
+	for vm := range g.unreachableSince {
 		if !names[vm] {
-			delete(g.silent, vm)
+			delete(g.unreachableSince, vm)
 		}
 	}
 }
 
-// take takes over what a peer told.
-func (g *gossiper) take(n *gossip.News) {
+// apply applies an update from a peer.
+func (g *gossiper) apply(u *gossip.News) {
 	e := g.edge
-	for service, p := range n.Proofs {
-		e.groups.Group(service).Hear(p, n.Acknowledged[service])
+	for service, p := range u.Proofs {
+		e.groups.Group(service).Hear(p, u.Acknowledged[service])
 	}
-	if n.Config != nil && e.catalog.SetConfig(n.Config) {
-		e.log.Info("configuration", zap.Int64("version", n.Config.Version), zap.Int("routes", len(n.Config.Routes)), zap.String("from", "peer"))
+	if u.Config != nil && e.catalog.SetConfig(u.Config) {
+		e.log.Info("configuration", zap.Int64("version", u.Config.Version), zap.Int("routes", len(u.Config.Routes)), zap.String("from", "peer"))
 	}
-	if n.Targets != nil && e.catalog.SetTargets(n.Targets.Targets, n.Targets.Revision) {
-		e.log.Info("targets", zap.Int64("revision", n.Targets.Revision), zap.String("from", "peer"))
+	if u.Targets != nil && e.catalog.SetTargets(u.Targets.Targets, u.Targets.Revision) {
+		e.log.Info("targets", zap.Int64("revision", u.Targets.Revision), zap.String("from", "peer"))
 	}
-	if n.Diverged && !g.whole.Swap(true) {
+	if u.Diverged && !g.wholeLists.Swap(true) {
 		e.log.Info("lists-diverged")
 	}
-	if !n.Diverged && (n.Fleet != nil || n.Targets != nil) {
-		g.whole.Store(false)
+	if !u.Diverged && (u.Fleet != nil || u.Targets != nil) {
+		g.wholeLists.Store(false)
 	}
-	if n.Fleet != nil {
-		e.catalog.SetFleet(n.Fleet.VMs, n.Fleet.Reigns, n.Fleet.Revision)
+	if u.Fleet != nil {
+		e.catalog.SetFleet(u.Fleet.VMs, u.Fleet.Reigns, u.Fleet.Revision)
 	}
-	for addr, at := range n.Silences {
+	for addr, at := range u.Silences {
 		e.router.HeardSilent(addr, at)
 	}
-	for l, m := range n.Marks {
-		e.eras.noteRevision(m.Revision)
+	for l, m := range u.Marks {
+		e.eras.recordRevision(m.Revision)
 		e.recency.Note(l, m)
 	}
 }
@@ -267,30 +267,31 @@
 // Reaches implements promoter.Fleet.
 func (g *gossiper) Reaches(now clock.Time) bool { return g.outcomes.reaches(now) }
 
-// RevokeAll implements promoter.Fleet. The list is read anew, so that no VM
-// is missed that joined before the attempt was recorded; one that joins later
-// sees the attempt before it sees itself on the list.
-func (g *gossiper) RevokeAll(ctx context.Context, held *catalog.Reign) bool {
+// RevokeAll implements promoter.Fleet. It reads the list again so that it includes VMs that joined
+// before the attempt was recorded. A VM that joins later sees the attempt before it sees itself on
+// the list.
+func (g *gossiper) RevokeAll(ctx context.Context, record *catalog.Reign) bool {
 	vms, err := g.edge.listVMs(ctx)
 	if err != nil {
-		g.edge.log.Info("fleet-unlisted", zap.String("service", held.Service), zap.Error(err))
+		g.edge.log.Info("fleet-unlisted", zap.String("service", record.Service), zap.Error(err))
 		return false
 	}
-	r := gossip.Revocation{Service: held.Service, Revision: held.Revision, Deposed: held.Attempt.Deposed}
+	r := gossip.Revocation{Service: record.Service, Revision: record.Revision, Deposed: record.Attempt.Deposed}
 	g.Revoke(r.Service, r.Revision, r.Deposed)
 	peers := make(map[string]string, len(vms))
 	for _, vm := range vms {
-		if vm.ID != g.edge.set.Node {
+		if vm.ID != g.edge.settings.Node {
 			peers[vm.Peer] = vm.ID
 		}
 	}
 	out := g.clients.RevokeAll(ctx, slices.Sorted(maps.Keys(peers)), r)
-	g.edge.groups.Group(held.Service).Acknowledged.Raise(out.Acknowledged)
+	g.edge.groups.Group(record.Service).Acknowledged.Raise(out.Acknowledged)
 	for addr, cause := range out.Unanswered {
-		g.edge.log.Info("permission-unanswered", zap.String("service", held.Service), zap.String("peer", peers[addr]), zap.Error(cause))
+		g.edge.log.Info("permission-unanswered", zap.String("service", record.Service), zap.String("peer", peers[addr]), zap.Error(cause))
 	}
-	// A VM whose entry the store has lost is not on the list, and may not know it yet.
-	return len(out.Unanswered) == 0 && !g.edge.eras.younger(storeAge)
+	// After a restore, a VM whose entry the store has lost is not on the list, and may not have
+	// detected that yet.
+	return len(out.Unanswered) == 0 && !g.edge.eras.startedWithin(maxFleetListAge)
 }
 
 // ListTargets implements promoter.Fleet.
@@ -299,7 +300,7 @@
 	list := func(after string) (*objects.Page, error) { return g.edge.store.List(ctx, kindTargets, after, false) }
 	err := objects.EachPage(list, func(p *objects.Page) error {
 		for i := range p.Items {
-			// What names no target need not be asked: the follower has said so.
+			// Skip entries that do not describe a target; the follower has logged them.
 			t, err := published.Target(&p.Items[i])
 			if err == nil && t.Service == service {
 				out = append(out, t.ID)
@@ -313,17 +314,17 @@
 	return out, nil
 }
 
-// deadAfter is how long a VM must not have answered to count as not live: longer than
-// its process takes to start anew.
+// deadAfter is how long a VM must be unreachable before it does not count as live. It is longer
+// than a restart of its process takes.
 const deadAfter = 1500 * time.Millisecond
 
-// live is how many of the fleet's VMs answer, this one included.
-func (g *gossiper) live(c *catalog.Catalog) int {
+// liveCount returns the number of live VMs in the fleet, this one included.
+func (g *gossiper) liveCount(c *catalog.Catalog) int {
 	now := g.edge.clk.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := len(c.VMs)
-	for vm, since := range g.silent {
+	for vm, since := range g.unreachableSince {
 		if _, known := c.VM(vm); known && now.Sub(since) > deadAfter {
 			n--
 		}
@@ -331,18 +332,17 @@
 	return max(n, 1)
 }
 
-// sweepAfter is how long a VM must not have answered before its entry is taken
-// away: far longer than storeAge, after which it holds no permission.
+// sweepAfter is how long a VM must be unreachable before its entry is removed. It is far longer
+// than maxFleetListAge, after which the VM holds no permission.
 const sweepAfter = time.Minute
 
-// gone returns the VMs that have been silent for so long that their entries
-// may be taken away.
-func (g *gossiper) gone() []string {
+// removableVMs returns the VMs that have been unreachable for longer than sweepAfter.
+func (g *gossiper) removableVMs() []string {
 	now := g.edge.clk.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []string
-	for vm, since := range g.silent {
+	for vm, since := range g.unreachableSince {
 		if vm != "" && now.Sub(since) > sweepAfter {
 			out = append(out, vm)
 		}
--- a/edge/gossip_internal_test.go
+++ b/edge/gossip_internal_test.go
@@ -15,36 +15,37 @@
 	"endivemoor.example/endivemoor/platform/boot"
 )
 
-// A peer tells what has changed in a list, and that does not fit the list that this
-// VM has. It asks for whole lists until one came: what changes next would not fit
-// either.
-func TestAfterADivergenceWholeListsAreAskedFor(t *testing.T) {
-	e := &Edge{set: &boot.Settings{}, catalog: catalog.NewHolder(), clk: monotonic.New(), log: zap.NewNop()}
+// Guards against: a VM that never recovers from a diverged list. A peer sends the changes of a
+// list, and they do not fit this VM's copy. The VM requests whole lists until it has received one,
+// because later changes would not fit either.
+func TestWholeListsAreRequestedAfterADivergence(t *testing.T) {
+	e := &Edge{settings: &boot.Settings{}, catalog: catalog.NewHolder(), clk: monotonic.New(), log: zap.NewNop()}
 	e.groups = groups.NewRegistry(groups.Config{Catalog: e.catalog, Clock: e.clk, Log: e.log})
 	g := &gossiper{edge: e}
-	require.False(t, g.question().Whole)
-	g.take(&gossip.News{Diverged: true})
-	require.True(t, g.question().Whole)
-	g.take(&gossip.News{})
-	require.True(t, g.question().Whole, "a peer with no news says nothing of it")
-	g.take(&gossip.News{Fleet: &gossip.Fleet{Revision: 7}})
-	require.False(t, g.question().Whole)
+	require.False(t, g.pullOptions().Whole)
+	g.apply(&gossip.News{Diverged: true})
+	require.True(t, g.pullOptions().Whole)
+	g.apply(&gossip.News{})
+	require.True(t, g.pullOptions().Whole, "an update without lists does not end the divergence")
+	g.apply(&gossip.News{Fleet: &gossip.Fleet{Revision: 7}})
+	require.False(t, g.pullOptions().Whole)
 }
 
-// Some VMs have not answered for a while, one only just now, and one is off the list.
+// Some VMs have been unreachable for a while, one only for a short time, and one is no longer on
+// the list.
 func TestLiveVMsAreThoseThatAnswer(t *testing.T) {
-	clk := &steps{now: clock.Time(time.Minute)}
-	g := &gossiper{edge: &Edge{clk: clk}, silent: map[string]clock.Time{
-		"b": clk.now.Add(-time.Minute / 2), "c": clk.now.Add(-deadAfter), "gone": 1,
+	clk := &manualClock{now: clock.Time(time.Minute)}
+	g := &gossiper{edge: &Edge{clk: clk}, unreachableSince: map[string]clock.Time{
+		"b": clk.now.Add(-time.Minute / 2), "c": clk.now.Add(-deadAfter), "removed": 1,
 	}}
 	h := catalog.NewHolder()
 	h.SetFleet([]catalog.VM{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}}, nil, 1)
-	require.Equal(t, 3, g.live(h.Load()))
+	require.Equal(t, 3, g.liveCount(h.Load()))
 	clk.now = clk.now.Add(time.Millisecond)
-	require.Equal(t, 2, g.live(h.Load()))
+	require.Equal(t, 2, g.liveCount(h.Load()))
 }
 
-// steps is a clock that stands still until it is moved.
-type steps struct{ now clock.Time }
+// manualClock is a clock that advances only when a test sets it.
+type manualClock struct{ now clock.Time }
 
-func (s *steps) Now() clock.Time { return s.now }
+func (s *manualClock) Now() clock.Time { return s.now }
--- a/edge/harness_test.go
+++ b/edge/harness_test.go
@@ -34,22 +34,22 @@
 
 const service = "ledger"
 
-// fleet is a world with one service and some VMs, in virtual time.
+// fleet is a simulated world with one service and some VMs, in virtual time.
 type fleet struct {
 	t     *testing.T
 	world *world.World
 	group *database.Group
-	// mu guards vms, whose processes come and go while traffic flows, and sessions.
+	// mu guards vms, whose processes start and stop during traffic, and sessions.
 	mu  sync.Mutex
 	vms map[string]*vm
-	// sessions counts those opened: request ids begin with their name.
+	// sessions counts the opened sessions: request ids begin with their name.
 	sessions int
 	// firstStart is set while the whole fleet starts for the first time.
 	firstStart bool
-	// applyWithin is the deployment's bound for a configuration to be in force; 0 is that
-	// of world.Settings.
+	// applyWithin is the deployment's bound for a configuration to be in force; 0 uses that of
+	// world.Settings.
 	applyWithin time.Duration
-	// ended are earlier processes of VMs that were started again.
+	// ended holds earlier processes of restarted VMs.
 	ended []*vm
 }
 
@@ -59,30 +59,30 @@
 	stop context.CancelFunc
 	done chan struct{}
 	zone string
-	// number is that of its addresses.
+	// number determines the VM's addresses.
 	number int
-	// killed VMs end with an error.
+	// killed is set for VMs whose Serve may return an error.
 	killed atomic.Bool
 }
 
 var zones = []string{"a", "b", "c"}
 
-// play runs a scenario with n VMs in a bubble of virtual time.
-func play(t *testing.T, n int, scenario func(f *fleet)) {
-	playOn(t, n, database.Options{}, scenario)
+// runFleet runs a scenario with n VMs in a bubble of virtual time.
+func runFleet(t *testing.T, n int, scenario func(f *fleet)) {
+	runFleetWith(t, n, database.Options{}, scenario)
 }
 
-// sizes are those of a small and of a large fleet; under the race detector the small one
-// only, for the time that it takes.
-func sizes(small, large int) []int {
-	if raceThins > 1 {
+// fleetSizes returns the sizes of a small and a large fleet; only the small one under the race
+// detector, to limit the run time.
+func fleetSizes(small, large int) []int {
+	if raceDivisor > 1 {
 		return []int{small}
 	}
 	return []int{small, large}
 }
 
-// playOn runs a scenario against targets of a kind.
-func playOn(t *testing.T, n int, opt database.Options, scenario func(f *fleet)) {
+// runFleetWith runs a scenario against targets with the given options.
+func runFleetWith(t *testing.T, n int, opt database.Options, scenario func(f *fleet)) {
 	opt.Service, opt.Lag, opt.Work = service, 60*time.Millisecond, 5*time.Millisecond
 	bubble.Test(t, func(t *testing.T) {
 		f := &fleet{t: t, world: world.New(), vms: make(map[string]*vm)}
@@ -91,7 +91,7 @@
 		for i := range n {
 			f.start(fmt.Sprintf("vm%d", i), zones[i%len(zones)], i+1)
 		}
-		defer f.end()
+		defer f.stopAll()
 		time.Sleep(2 * time.Second)
 		scenario(f)
 	})
@@ -128,7 +128,7 @@
 	f.vms[name] = v
 }
 
-// traffic starts callers at all VMs.
+// traffic starts consumers at all VMs.
 func (f *fleet) traffic() *traffic.Traffic {
 	open := func(name, vm, db string) (*consumer.Session, consumer.Answer) {
 		return f.world.Open(name, f.addr(vm), db)
@@ -137,15 +137,15 @@
 	return traffic.Start(open, traffic.Databases{Exact: exact, Bounded: bounded, Own: own}, names)
 }
 
-// addr is where a VM takes consumers.
+// addr returns the address at which a VM accepts consumers.
 func (f *fleet) addr(vm string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.vms[vm].addr
 }
 
-// again starts a killed VM's process anew.
-func (f *fleet) again(name string) {
+// restartVM starts a new process of a killed VM.
+func (f *fleet) restartVM(name string) {
 	f.mu.Lock()
 	old := f.vms[name]
 	f.mu.Unlock()
@@ -154,7 +154,7 @@
 	f.start(name, old.zone, old.number)
 }
 
-// log is silent unless tests are verbose.
+// log returns a logger that discards everything unless tests are verbose.
 func (f *fleet) log(name string) *zap.Logger {
 	if !testing.Verbose() {
 		return zap.NewNop()
@@ -162,8 +162,8 @@
 	return logging.New(os.Stdout, zap.NewAtomicLevelAt(zap.DebugLevel)).With(zap.String("vm", name))
 }
 
-// end stops everything; a bubble must not leave goroutines behind.
-func (f *fleet) end() {
+// stopAll stops everything; a bubble must not leave goroutines behind.
+func (f *fleet) stopAll() {
 	f.world.Net.HealAll()
 	all := append([]*vm{}, f.ended...)
 	for _, v := range f.vms {
@@ -186,8 +186,8 @@
 	time.Sleep(time.Minute)
 }
 
-// kill ends a VM without a word: what it has open breaks, and nothing of it is
-// tidied up. Its goroutines go on unheard until the scenario ends.
+// kill ends a VM abruptly: its connections break, and it cleans nothing up. Its goroutines
+// continue, without network, until the scenario ends.
 func (f *fleet) kill(name string) {
 	f.vms[name].killed.Store(true)
 	f.world.Net.Kill(name)
@@ -203,7 +203,7 @@
 	}
 }
 
-// session opens one at a VM.
+// session opens a session at a VM.
 func (f *fleet) session(vm, db string) *consumer.Session {
 	f.t.Helper()
 	c, a := f.world.Open(f.nextConsumer(), f.addr(vm), db)
@@ -211,7 +211,7 @@
 	return c
 }
 
-// nextConsumer names one. Scenarios open sessions on several goroutines.
+// nextConsumer returns a new consumer name. Scenarios open sessions on several goroutines.
 func (f *fleet) nextConsumer() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -219,11 +219,11 @@
 	return fmt.Sprintf("consumer%d-", f.sessions)
 }
 
-// fair checks what must hold at the end of every scenario.
-func (f *fleet) fair() {
+// checkInvariants checks what must hold at the end of every scenario.
+func (f *fleet) checkInvariants() {
 	f.t.Helper()
 	v := f.group.Judge()
-	require.Empty(f.t, v.Lost, "acknowledged commits are lost")
+	require.Empty(f.t, v.Lost, "acknowledged commits were lost")
 	require.Empty(f.t, v.Twice, "writes took effect twice")
-	require.Empty(f.t, f.world.Store.Disorder(), "holders are out of order")
+	require.Empty(f.t, f.world.Store.Disorder(), "calls of holders reached the platform out of order")
 }
--- a/edge/largeconfig_test.go
+++ b/edge/largeconfig_test.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	// applyWithin is in how much time a configuration must be in force everywhere.
+	// applyWithin is the time within which a configuration must be in force everywhere.
 	applyWithin = 5 * time.Second
-	// slowLink is the link of a small VM, 10 Mbit/s, in bytes a second.
+	// slowLink is the rate of a small VM's link, 10 Mbit/s, in bytes a second.
 	slowLink = 10_000_000 / 8
-	// manyRoutes is how many routes a configuration near the store's limit for an object has.
+	// manyRoutes is the number of routes in a configuration near the store's size limit for an
+	// object.
 	manyRoutes = 5000
 )
 
-// routesUpTo are the standard routes and others that nobody asks for, n in all.
+// routesUpTo returns n routes: the standard ones and others that no consumer uses.
 func routesUpTo(n int) []catalog.Route {
 	out := standardRoutes()
 	for i := len(out); i < n; i++ {
 		out = append(out, catalog.Route{
-			// Names that compress no better than those of tenants do.
+			// The names compress no better than those of tenants do.
 			Database: strconv.FormatUint(xxhash.Sum64String(strconv.Itoa(i)), 36), Service: service, Freshness: catalog.Bounded, MaxAge: 1500 * time.Millisecond,
 			StatementTimeout: time.Second, Objective: 400 * time.Millisecond, Priority: 2,
 		})
@@ -37,11 +38,12 @@
 	return out
 }
 
-func lastOf(routes []catalog.Route) string { return routes[len(routes)-1].Database }
+func lastDatabase(routes []catalog.Route) string { return routes[len(routes)-1].Database }
 
-// playOverLinks runs a scenario with n VMs whose links have rates, in bytes a second, 0 for no bound.
-func playOverLinks(t *testing.T, n int, rate func(vm string, names []string) int, scenario func(f *fleet)) {
-	play(t, 0, func(f *fleet) {
+// runFleetOverLinks runs a scenario with n VMs whose links have the given rates in bytes a second;
+// 0 is unlimited.
+func runFleetOverLinks(t *testing.T, n int, rate func(vm string, names []string) int, scenario func(f *fleet)) {
+	runFleet(t, 0, func(f *fleet) {
 		f.applyWithin = applyWithin
 		names := make([]string, n)
 		for i := range names {
@@ -56,81 +58,85 @@
 	})
 }
 
-// inForce checks that all VMs go by a configuration that has the database.
-func (f *fleet) inForce(database string) {
+// requireRoute checks that all VMs apply a configuration with the database.
+func (f *fleet) requireRoute(database string) {
 	f.t.Helper()
-	var late []string
+	var missing []string
 	for _, name := range slices.Sorted(maps.Keys(f.vms)) {
 		c, a := f.world.Open(f.nextConsumer(), f.addr(name), database)
 		if a.State != "I" {
-			late = append(late, name)
+			missing = append(missing, name)
 		}
 		if c != nil {
 			c.Close()
 		}
 	}
-	require.Empty(f.t, late, "VMs that do not know the route")
+	require.Empty(f.t, missing, "VMs without the route")
 }
 
-// Guards against a configuration that is too large for one exchange between VMs with slow links, and so is never taken.
+// Guards against: a configuration that is never applied because it is too large for one exchange
+// between VMs with slow links.
 func TestLargeConfigurationIsInForceInTimeOverSlowLinks(t *testing.T) {
 	slow := func(string, []string) int { return slowLink }
-	playOverLinks(t, 30, slow, func(f *fleet) {
+	runFleetOverLinks(t, 30, slow, func(f *fleet) {
 		f.world.SetRoutes(routesUpTo(manyRoutes - 1400)...)
 		time.Sleep(10 * time.Second)
 		routes := routesUpTo(manyRoutes)
 		f.world.SetRoutes(routes...)
 		time.Sleep(applyWithin)
-		f.inForce(lastOf(routes))
+		f.requireRoute(lastDatabase(routes))
 	})
 }
 
-// lookoutsOf are the VMs that look out for the others.
-func lookoutsOf(names []string) []string {
-	const lookouts = 6
-	turn := func(a, b string) int { return int(takeover.Turn("store", a, names) - takeover.Turn("store", b, names)) }
-	return slices.SortedFunc(slices.Values(names), turn)[:lookouts]
+// watchersOf returns the designated watchers.
+func watchersOf(names []string) []string {
+	const watchers = 6
+	byRank := func(a, b string) int { return int(takeover.Turn("store", a, names) - takeover.Turn("store", b, names)) }
+	return slices.SortedFunc(slices.Values(names), byRank)[:watchers]
 }
 
-// Guards against a configuration that a VM with a slow link cannot read within one call to the store.
+// Guards against: a configuration that is never applied because a VM with a slow link cannot read
+// it within one call to the store.
 func TestLargeConfigurationIsReadOverAVerySlowLink(t *testing.T) {
 	const verySlow = 300_000
 	rate := func(vm string, names []string) int {
-		if slices.Contains(lookoutsOf(names), vm) {
+		if slices.Contains(watchersOf(names), vm) {
 			return verySlow
 		}
 		return 0
 	}
-	playOverLinks(t, 30, rate, func(f *fleet) {
+	runFleetOverLinks(t, 30, rate, func(f *fleet) {
 		routes := routesUpTo(manyRoutes)
 		f.world.SetRoutes(routes...)
 		time.Sleep(applyWithin)
-		f.inForce(lastOf(routes))
+		f.requireRoute(lastDatabase(routes))
 	})
 }
 
-// Guards against VMs that leave the watch of the configuration to others on a word about the fleet's list.
-func TestConfigurationIsInForceThoughItsLookoutsCannotReadIt(t *testing.T) {
+// Guards against: VMs that suspend the watch of the configuration because of evidence about the
+// fleet's list.
+func TestConfigurationIsInForceThoughItsDesignatedWatchersCannotReadIt(t *testing.T) {
 	fast := func(string, []string) int { return 0 }
-	playOverLinks(t, 30, fast, func(f *fleet) {
-		// Watches that began before a VM rested have run out.
+	runFleetOverLinks(t, 30, fast, func(f *fleet) {
+		// Watch calls that began before a VM suspended its watch have ended by now.
 		time.Sleep(15 * time.Second)
-		for _, name := range lookoutsOf(slices.Collect(maps.Keys(f.vms))) {
+		for _, name := range watchersOf(slices.Collect(maps.Keys(f.vms))) {
 			f.world.Store.RefuseKind(name, "config")
 		}
 		routes := routesUpTo(10)
 		f.world.SetRoutes(routes...)
 		time.Sleep(applyWithin)
-		f.inForce(lastOf(routes))
+		f.requireRoute(lastDatabase(routes))
 	})
 }
 
-// Guards against a VM that sits in a long watch which has gone silent after those that look out were turned away.
+// Guards against: a VM that stays in a hanging long watch after the designated watchers were
+// refused by the store.
 func TestConfigurationIsInForceThoughWatchesAreSilent(t *testing.T) {
 	fast := func(string, []string) int { return 0 }
-	playOverLinks(t, 9, fast, func(f *fleet) {
+	runFleetOverLinks(t, 9, fast, func(f *fleet) {
 		names := slices.Collect(maps.Keys(f.vms))
-		for _, name := range lookoutsOf(names)[:3] {
+		for _, name := range watchersOf(names)[:3] {
 			f.world.Store.RefuseKind(name, "config")
 		}
 		f.world.SetRoutes(routesUpTo(9)...)
@@ -141,6 +147,6 @@
 		routes := routesUpTo(10)
 		f.world.SetRoutes(routes...)
 		time.Sleep(applyWithin)
-		f.inForce(lastOf(routes))
+		f.requireRoute(lastDatabase(routes))
 	})
 }
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -14,96 +14,96 @@
 )
 
 const (
-	// ownerPatience is how long one owner's answer is waited for before the next one is
-	// asked as well.
-	ownerPatience = 40 * time.Millisecond
-	// ownersPatience bounds the wait for all of them, and silentPatience if none has
-	// answered lately.
-	ownersPatience = 250 * time.Millisecond
-	silentPatience = 60 * time.Millisecond
-	// ownersAway is when a caller should return if no owner answers: at once, as its next
-	// try reaches another VM, which may be on the better side of a cut.
-	ownersAway = 30 * time.Millisecond
-	// ownersRest is for how long after a restore of the store the owners stay as they
-	// were: entries of VMs that it has lost are written again by then.
-	ownersRest = 3 * time.Second
+	// ownerTimeout is how long to wait for one owner's reply before the next owner is asked too.
+	ownerTimeout = 40 * time.Millisecond
+	// allOwnersTimeout bounds the wait for all owners, and unresponsiveTimeout bounds it if none of
+	// them has answered recently.
+	allOwnersTimeout    = 250 * time.Millisecond
+	unresponsiveTimeout = 60 * time.Millisecond
+	// noOwnerRetryAfter is the retry-after of a caller if no owner answers. It is short because the
+	// caller's next try reaches another VM, which may be on the better side of a partition.
+	noOwnerRetryAfter = 30 * time.Millisecond
+	// ownersHoldTime is how long after a restore of the store the owners stay unchanged. VMs whose
+	// entries were lost have rewritten them by then.
+	ownersHoldTime = 3 * time.Second
 )
 
-// limits lets the operations of workspaces through, as far as their limits go, and
-// keeps this VM's part of them.
+// limits enforces the rate limits of workspaces and holds this VM's share of them.
 type limits struct {
-	edge *Edge
-	plan atomic.Pointer[ratelimit.Plan]
+	edge       *Edge
+	assignment atomic.Pointer[ratelimit.Plan]
 
-	mu     sync.Mutex
-	ledger *ratelimit.Ledger
-	purse  *ratelimit.Purse
+	mu      sync.Mutex
+	buckets *ratelimit.Ledger
+	tokens  *ratelimit.Purse
 }
 
 func newLimits(e *Edge) *limits {
-	l := &limits{edge: e, ledger: ratelimit.NewLedger(e.set.Bounds.LimitMargin), purse: ratelimit.NewPurse()}
-	l.plan.Store(ratelimit.NewPlan(e.set.Node, nil, e.clk.Now()))
+	l := &limits{edge: e, buckets: ratelimit.NewLedger(e.settings.Bounds.LimitMargin), tokens: ratelimit.NewPurse()}
+	l.assignment.Store(ratelimit.NewPlan(e.settings.Node, nil, e.clk.Now()))
 	return l
 }
 
-// update takes over a new catalog. It is called by one goroutine.
+// update applies a new catalog. It must be called from one goroutine only.
 //
-// Failure guarded against: the store comes back from an older copy without the entries of
-// many VMs, which write them again. Each of them would be a new owner that has to wait, and
-// whole workspaces would be without one.
+// Failure guarded against: the store is restored from an older copy without the entries of many
+// VMs, which rewrite them. Each of these VMs would become a new owner that has to wait, and whole
+// workspaces would have no owner meanwhile.
 func (l *limits) update(c *catalog.Catalog) {
-	if !l.holds() {
-		l.plan.Store(l.plan.Load().Next(c.VMs, l.edge.clk.Now()))
+	if !l.holdsAssignment() {
+		l.assignment.Store(l.assignment.Load().Next(c.VMs, l.edge.clk.Now()))
 	}
 	if c.Config == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ledger.Keep(c.Config.Workspaces)
-	l.purse.Keep(c.Config.Workspaces)
+	l.buckets.Keep(c.Config.Workspaces)
+	l.tokens.Keep(c.Config.Workspaces)
 }
 
-// holds reports whether the owners stay as they are, whatever the list says.
-func (l *limits) holds() bool { return l.edge.eras.younger(ownersRest) && !l.plan.Load().IsOf(nil) }
+// holdsAssignment reports whether the owners stay unchanged regardless of the fleet's list.
+func (l *limits) holdsAssignment() bool {
+	return l.edge.eras.startedWithin(ownersHoldTime) && !l.assignment.Load().IsOf(nil)
+}
 
-// behind reports whether the owners are to be those of another list.
-func (l *limits) behind(c *catalog.Catalog) bool {
-	return len(c.VMs) > 0 && !l.holds() && !l.plan.Load().IsOf(c.VMs)
+// outdated reports whether the owners must be reassigned for the current fleet's list.
+func (l *limits) outdated(c *catalog.Catalog) bool {
+	return len(c.VMs) > 0 && !l.holdsAssignment() && !l.assignment.Load().IsOf(c.VMs)
 }
 
-// Draw takes tokens of the part that this VM owns of a workspace's limit.
-func (l *limits) Draw(workspace string, want int) (tokens int, comeBack time.Duration) {
+// Draw takes tokens from this VM's share of a workspace's limit.
+func (l *limits) Draw(workspace string, want int) (tokens int, retryAfter time.Duration) {
 	now := l.edge.clk.Now()
-	part := l.plan.Load().Part(workspace, now)
+	share := l.assignment.Load().Part(workspace, now)
 	c := l.edge.catalog.Load().Config
-	if part.Of == 0 || c == nil || c.Workspaces[workspace] == nil || l.edge.ends.leaving.Load() {
-		return 0, ownersAway
+	if share.Of == 0 || c == nil || c.Workspaces[workspace] == nil || l.edge.shutdown.leaving.Load() {
+		return 0, noOwnerRetryAfter
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ledger.Grant(now, c.Workspaces[workspace], part, want)
+	return l.buckets.Grant(now, c.Workspaces[workspace], share, want)
 }
 
 // Take implements engine.Limiter.
-func (l *limits) Take(ctx context.Context, w *catalog.Workspace) (comeBack time.Duration, ok bool) {
+func (l *limits) Take(ctx context.Context, w *catalog.Workspace) (retryAfter time.Duration, ok bool) {
 	if !w.Limited {
 		return 0, true
 	}
-	want, wait := l.atHand(w.Name)
+	want, wait := l.spendOrWant(w.Name)
 	switch {
 	case wait > 0:
 		return wait, false
 	case want == 0:
 		return 0, true
 	}
-	comeBack, ok = l.ask(ctx, w.Name, want)
+	retryAfter, ok = l.drawFromOwners(ctx, w.Name, want)
 	if !ok {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.purse.Close(l.edge.clk.Now(), w.Name, comeBack)
+		l.tokens.Close(l.edge.clk.Now(), w.Name, retryAfter)
 	}
-	return comeBack, ok
+	return retryAfter, ok
 }
 
 // Return implements engine.Limiter.
@@ -113,51 +113,52 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.purse.Return(w.Name)
+	l.tokens.Return(w.Name)
 }
 
-// atHand spends a token that this VM has. If it has none, want says how many to ask for,
-// or wait for how long not to.
-func (l *limits) atHand(workspace string) (want int, wait time.Duration) {
+// spendOrWant spends a cached token. Without one, it returns how many tokens to request, or how
+// long to wait before the next request.
+func (l *limits) spendOrWant(workspace string) (want int, wait time.Duration) {
 	now := l.edge.clk.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.purse.Asked(now, workspace)
-	if l.purse.Spend(now, workspace) {
+	l.tokens.Asked(now, workspace)
+	if l.tokens.Spend(now, workspace) {
 		return 0, 0
 	}
-	return l.purse.Want(now, workspace), l.purse.Closed(now, workspace)
+	return l.tokens.Want(now, workspace), l.tokens.Closed(now, workspace)
 }
 
-// drawn is an owner's answer.
-type drawn struct {
-	tokens   int
-	comeBack time.Duration
-	err      error
+// drawReply is an owner's reply.
+type drawReply struct {
+	tokens     int
+	retryAfter time.Duration
+	err        error
 }
 
-// ask asks the owners for a token, and says when to come back if none has one.
-func (l *limits) ask(ctx context.Context, workspace string, want int) (comeBack time.Duration, ok bool) {
-	owners, patience := l.awake(l.plan.Load().Nearest(workspace, l.edge.set.Zone))
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// drawFromOwners requests a token from the owners. If none has one, it returns the retry-after.
+func (l *limits) drawFromOwners(ctx context.Context, workspace string, want int) (retryAfter time.Duration, ok bool) {
+	owners, timeout := l.responsiveOwners(l.assignment.Load().Nearest(workspace, l.edge.settings.Zone))
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	comeBack, ok = l.askInTurn(ctx, owners, workspace, want)
-	return cmp.Or(comeBack, ownersAway), ok
+	retryAfter, ok = l.drawInSequence(ctx, owners, workspace, want)
+	return cmp.Or(retryAfter, noOwnerRetryAfter), ok
 }
 
-// askInTurn asks one owner after the other, and the next one as well if one takes long. If
-// none has a token, the result is the earliest time that one of them told, or 0.
-func (l *limits) askInTurn(ctx context.Context, owners []catalog.VM, workspace string, want int) (comeBack time.Duration, ok bool) {
-	answers := make(chan drawn, len(owners))
-	asked, answered := 0, 0
+// drawInSequence asks one owner after the other, and also the next one if a reply takes longer than
+// ownerTimeout. If no owner has a token, it returns the shortest retry-after that an owner
+// reported, or 0.
+func (l *limits) drawInSequence(ctx context.Context, owners []catalog.VM, workspace string, want int) (retryAfter time.Duration, ok bool) {
+	answers := make(chan drawReply, len(owners))
+	sent, answered := 0, 0
 	next := func() {
-		if asked < len(owners) {
-			go l.drawAt(owners[asked], workspace, want, answers)
-			asked++
+		if sent < len(owners) {
+			go l.drawFrom(owners[sent], workspace, want, answers)
+			sent++
 		}
 	}
-	slow := time.NewTicker(ownerPatience)
-	defer slow.Stop()
+	ownerTimer := time.NewTicker(ownerTimeout)
+	defer ownerTimer.Stop()
 	for next(); answered < len(owners); {
 		select {
 		case a := <-answers:
@@ -165,53 +166,53 @@
 			if a.tokens > 0 && l.spend(workspace) {
 				return 0, true
 			}
-			if a.err == nil && (comeBack == 0 || a.comeBack < comeBack) {
-				comeBack = a.comeBack
+			if a.err == nil && (retryAfter == 0 || a.retryAfter < retryAfter) {
+				retryAfter = a.retryAfter
 			}
 			next()
-		case <-slow.C:
+		case <-ownerTimer.C:
 			next()
 		case <-ctx.Done():
-			return comeBack, false
+			return retryAfter, false
 		}
 	}
-	return comeBack, false
+	return retryAfter, false
 }
 
-// awake leaves out the owners that did not answer just now. If none has, all are asked
-// again and not waited for long; none is by a VM that reaches nobody, as it knows already
-// that it will be in vain.
-func (l *limits) awake(owners []catalog.VM) ([]catalog.VM, time.Duration) {
+// responsiveOwners omits the owners that are in backoff after not answering. If all are, it returns
+// all of them with a short timeout; it returns none if this VM reaches no peer, because the
+// requests would fail.
+func (l *limits) responsiveOwners(owners []catalog.VM) ([]catalog.VM, time.Duration) {
 	out := make([]catalog.VM, 0, len(owners))
 	for _, vm := range owners {
-		if vm.ID == l.edge.set.Node || !l.edge.router.Rests(vm) {
+		if vm.ID == l.edge.settings.Node || !l.edge.router.Rests(vm) {
 			out = append(out, vm)
 		}
 	}
 	switch {
 	case len(out) > 0:
-		return out, ownersPatience
+		return out, allOwnersTimeout
 	case l.edge.gossip.Reaches(l.edge.clk.Now()):
-		return owners, silentPatience
+		return owners, unresponsiveTimeout
 	default:
-		return nil, silentPatience
+		return nil, unresponsiveTimeout
 	}
 }
 
-// drawAt asks one owner, and keeps what it gives.
-func (l *limits) drawAt(vm catalog.VM, workspace string, want int, answers chan<- drawn) {
-	asked := l.edge.clk.Now()
-	var a drawn
-	if vm.ID == l.edge.set.Node {
-		a.tokens, a.comeBack = l.Draw(workspace, want)
+// drawFrom requests tokens from one owner and caches those granted.
+func (l *limits) drawFrom(vm catalog.VM, workspace string, want int, answers chan<- drawReply) {
+	requested := l.edge.clk.Now()
+	var a drawReply
+	if vm.ID == l.edge.settings.Node {
+		a.tokens, a.retryAfter = l.Draw(workspace, want)
 	} else {
-		a.tokens, a.comeBack, a.err = l.edge.router.Draw(vm, workspace, want)
+		a.tokens, a.retryAfter, a.err = l.edge.router.Draw(vm, workspace, want)
 	}
 	if a.err != nil {
 		l.edge.log.Debug("owner-silent", zap.String("workspace", workspace), zap.String("owner", vm.ID), zap.Error(a.err))
 	}
 	l.mu.Lock()
-	l.purse.Put(workspace, asked, a.tokens)
+	l.tokens.Put(workspace, requested, a.tokens)
 	l.mu.Unlock()
 	answers <- a
 }
@@ -219,5 +220,5 @@
 func (l *limits) spend(workspace string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.purse.Spend(l.edge.clk.Now(), workspace)
+	return l.tokens.Spend(l.edge.clk.Now(), workspace)
 }
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -17,16 +17,16 @@
 	return workspaces.Workspace{Name: name, Keys: keys, Rate: rate, Burst: rate}
 }
 
-// callers counts what became of a workspace's operations.
+// callers counts the results of a workspace's operations.
 type callers struct {
 	served, refused, failed atomic.Int64
 	wait                    sync.WaitGroup
 	stop                    chan struct{}
 }
 
-// ask sends operations with a key at so many a second, in turn at each of some VMs,
-// until end is called.
-func (f *fleet) ask(key string, rate float64, vms ...string) *callers {
+// sendOperations sends operations with a key at a rate a second, at each of the VMs in turn, until
+// end is called.
+func (f *fleet) sendOperations(key string, rate float64, vms ...string) *callers {
 	c := &callers{stop: make(chan struct{})}
 	for i, vm := range vms {
 		c.wait.Go(func() {
@@ -37,7 +37,7 @@
 			for {
 				select {
 				case <-tick.C:
-					c.wait.Go(func() { c.one(f, key, vm) })
+					c.wait.Go(func() { c.runOne(f, key, vm) })
 				case <-c.stop:
 					return
 				}
@@ -47,8 +47,8 @@
 	return c
 }
 
-func (c *callers) one(f *fleet, key, vm string) {
-	s, a := f.as(key, vm, bounded)
+func (c *callers) runOne(f *fleet, key, vm string) {
+	s, a := f.openAs(key, vm, bounded)
 	if s == nil || a.State != "I" {
 		c.failed.Add(1)
 		return
@@ -71,7 +71,7 @@
 	return c.served.Load(), c.refused.Load(), c.failed.Load()
 }
 
-func names(n int) []string {
+func vmNames(n int) []string {
 	var out []string
 	for i := range n {
 		out = append(out, fmt.Sprintf("vm%d", i))
@@ -79,100 +79,103 @@
 	return out
 }
 
-// Guards against: a flood that gets more than its limit, or less, or takes another workspace's service.
+// Guards against: a flood that gets more or less than its limit, or affects another workspace's
+// service.
 func TestFloodGetsItsLimitAndNoMore(t *testing.T) {
-	for _, vms := range sizes(9, 30) {
-		play(t, vms, func(f *fleet) {
-			f.keyed(limitedTo(20, "hot", "h"), limitedTo(20, "calm", "c"))
-			hot, calm := f.ask("h", 150, names(vms)...), f.ask("c", 12, names(vms)...)
+	for _, vms := range fleetSizes(9, 30) {
+		runFleet(t, vms, func(f *fleet) {
+			f.publishWorkspaces(limitedTo(20, "hot", "h"), limitedTo(20, "calm", "c"))
+			hot, calm := f.sendOperations("h", 150, vmNames(vms)...), f.sendOperations("c", 12, vmNames(vms)...)
 			time.Sleep(10 * time.Second)
 			served, refused, failed := hot.end()
-			require.GreaterOrEqual(t, served, int64(200), "of 10 s at 20 a second")
+			require.GreaterOrEqual(t, served, int64(200), "10 s at 20 a second")
 			require.Positive(t, refused)
 			require.Zero(t, failed)
 			served, refused, failed = calm.end()
 			require.Zero(t, refused+failed, "of %d", served)
-			f.lawful()
+			f.checkWorkspaces()
 		})
 	}
 }
 
-// Guards against: a flood at one VM that is let through there without the fleet.
+// Guards against: a flood at one VM that is admitted there without the rest of the fleet.
 func TestFloodAtOneVM(t *testing.T) {
-	play(t, 9, func(f *fleet) {
-		f.keyed(limitedTo(20, "hot", "h"))
-		hot := f.ask("h", 150, "vm3")
+	runFleet(t, 9, func(f *fleet) {
+		f.publishWorkspaces(limitedTo(20, "hot", "h"))
+		hot := f.sendOperations("h", 150, "vm3")
 		time.Sleep(10 * time.Second)
 		served, _, _ := hot.end()
 		require.GreaterOrEqual(t, served, int64(200))
-		f.lawful()
+		f.checkWorkspaces()
 	})
 }
 
-// Guards against: a burst that is granted again with every start of the fleet.
+// Guards against: a burst that is granted again at every start of the fleet.
 func TestRestartedFleetGrantsNoSecondBurst(t *testing.T) {
-	play(t, 9, func(f *fleet) {
-		f.keyed(limitedTo(40, "hot", "h"))
-		hot := f.ask("h", 300, names(9)...)
+	runFleet(t, 9, func(f *fleet) {
+		f.publishWorkspaces(limitedTo(40, "hot", "h"))
+		hot := f.sendOperations("h", 300, vmNames(9)...)
 		for range 3 {
 			time.Sleep(1500 * time.Millisecond)
-			for _, name := range names(9) {
+			for _, name := range vmNames(9) {
 				f.kill(name)
 			}
-			for _, name := range names(9) {
-				f.again(name)
+			for _, name := range vmNames(9) {
+				f.restartVM(name)
 			}
 		}
 		time.Sleep(5 * time.Second)
 		hot.end()
-		f.lawful()
+		f.checkWorkspaces()
 	})
 }
 
-// Guards against: a lowered limit that some VMs do not know of in time.
+// Guards against: a lowered limit that some VMs receive too late.
 func TestLoweredLimitBindsWhileVMsAreTurnedAway(t *testing.T) {
-	play(t, 9, func(f *fleet) {
-		f.keyed(limitedTo(60, "hot", "h"))
-		hot := f.ask("h", 100, names(9)...)
+	runFleet(t, 9, func(f *fleet) {
+		f.publishWorkspaces(limitedTo(60, "hot", "h"))
+		hot := f.sendOperations("h", 100, vmNames(9)...)
 		time.Sleep(3 * time.Second)
-		for _, name := range names(3) {
+		for _, name := range vmNames(3) {
 			f.world.CutFromStore(name, true)
 		}
 		f.world.SetWorkspaces(limitedTo(5, "hot", "h"))
 		time.Sleep(15 * time.Second)
 		hot.end()
-		for _, name := range names(3) {
+		for _, name := range vmNames(3) {
 			f.world.CutFromStore(name, false)
 		}
-		f.lawful()
+		f.checkWorkspaces()
 	})
 }
 
-// Guards against: VMs that let operations through on their own because no owner of a limit can be reached, and operations that wait in vain there.
+// Guards against: VMs that admit operations on their own because they reach no owner of a limit,
+// and operations that wait in vain there.
 func TestVMsThatReachNoOwnerRefuseAtOnce(t *testing.T) {
-	play(t, 9, func(f *fleet) {
-		f.keyed(limitedTo(20, "hot", "h"))
+	runFleet(t, 9, func(f *fleet) {
+		f.publishWorkspaces(limitedTo(20, "hot", "h"))
 		f.isolate("vm4")
 		time.Sleep(time.Second)
-		alone := f.ask("h", 50, "vm4")
+		alone := f.sendOperations("h", 50, "vm4")
 		time.Sleep(3 * time.Second)
 		served, refused, failed := alone.end()
-		require.LessOrEqual(t, served, int64(30), "by the third that this VM may own")
-		require.Greater(t, refused, 9*failed, "nearly all know at once that it is in vain")
-		f.lawful()
+		require.LessOrEqual(t, served, int64(30), "at most the third of the limit that this VM may own")
+		require.Greater(t, refused, 9*failed, "nearly all operations are refused at once")
+		f.checkWorkspaces()
 	})
 }
 
-// Guards against: workspaces without an owner while VMs whose entries the store has lost write them again.
+// Guards against: workspaces without an owner while VMs whose entries the store has lost rewrite
+// them.
 func TestRestoreThatLosesAllVMsRefusesNobody(t *testing.T) {
-	play(t, 9, func(f *fleet) {
-		f.keyed(limitedTo(100, "calm", "c"))
-		calm := f.ask("c", 60, names(9)...)
+	runFleet(t, 9, func(f *fleet) {
+		f.publishWorkspaces(limitedTo(100, "calm", "c"))
+		calm := f.sendOperations("c", 60, vmNames(9)...)
 		time.Sleep(time.Second)
 		f.world.RestoreStore(100*time.Millisecond, 20*time.Second)
 		time.Sleep(6 * time.Second)
 		served, refused, _ := calm.end()
 		require.Zero(t, refused, "of %d", served)
-		f.lawful()
+		f.checkWorkspaces()
 	})
 }
--- a/edge/matrix_test.go
+++ b/edge/matrix_test.go
@@ -14,15 +14,15 @@
 	"endivemoor.example/endivemoor/platform/standin/database"
 )
 
-// everyCell plays the whole matrix instead of the sample that CI plays.
-var everyCell = flag.Bool("fleet.all", false, "play every cell of the fleet's fault matrix")
+// allCells runs the whole matrix instead of the sample that CI runs.
+var allCells = flag.Bool("fleet.all", false, "play every cell of the fleet's fault matrix")
 
-// sampled is the part of the cells that is played without -fleet.all.
-const sampled = 12
+// sampleDivisor sets the fraction of the cells that is run without -fleet.all.
+const sampleDivisor = 12
 
-// matrixTroubles are struck alone and in pairs, each with what ends it. Several
-// lines of one are struck at once.
-var matrixTroubles = []struct{ name, strike, end string }{
+// matrixFaults are injected alone and in pairs, each with the commands that end it. Commands
+// separated by semicolons are run at once.
+var matrixFaults = []struct{ name, inject, end string }{
 	{"primary-crashes", "crash ledger-0", "restart ledger-0"},
 	{"primary-gone", "remove ledger-0", ""},
 	{"primary-leaves", "drain ledger-0", ""},
@@ -49,64 +49,64 @@
 	{"slow-net", "slow-net 40ms", "slow-net 0s"},
 }
 
-// gaps between the two troubles of a pair: at once, within an attempt's steps,
-// after an attempt, and after it has settled.
+// gaps are the times between the two faults of a pair: none, within an attempt's steps, after an
+// attempt, and after the settle period.
 var gaps = []time.Duration{0, 60 * time.Millisecond, 450 * time.Millisecond, 1300 * time.Millisecond}
 
-// Every trouble, and every two of them at several distances, strike a fleet under
-// load. Whatever its users were told must hold: nothing that was confirmed is
-// lost, nothing takes effect twice, nobody reads less than the route allows; and
-// once all has ended, sales go on.
+// Every fault, and every pair of faults at several distances, is injected into a fleet under load.
+// The promises made to consumers must hold: no confirmed write is lost, no write takes effect
+// twice, and no read returns older data than its route allows. Writes succeed again once all faults
+// have ended.
 func TestFleetFaultMatrix(t *testing.T) {
-	for i, first := range matrixTroubles {
-		for j, second := range matrixTroubles {
+	for i, first := range matrixFaults {
+		for j, second := range matrixFaults {
 			for _, gap := range gaps {
 				if i == j && gap > 0 {
 					continue
 				}
 				for _, connections := range []int{0, 5} {
 					name := fmt.Sprintf("%s/%s/%s/%d", first.name, second.name, gap, connections)
-					if !*everyCell && !drawn(name) {
+					if !*allCells && !inSample(name) {
 						continue
 					}
-					t.Run(name, func(t *testing.T) { playCell(t, []int{i, j}, gap, connections) })
+					t.Run(name, func(t *testing.T) { runCell(t, []int{i, j}, gap, connections) })
 				}
 			}
 		}
 	}
 }
 
-// failedOnce are cells that have failed by a fault of the product. CI plays them
-// all. In this one a target that joins with an empty log was promoted, as it told the
+// regressionCells are cells that have failed because of a fault in the product. CI runs all of
+// them. In this one a target that joined with an empty log was promoted, because it reported the
 // newest term.
-var failedOnce = []string{"replicas-deaf/replica-joins/1.3s/0"}
+var regressionCells = []string{"replicas-deaf/replica-joins/1.3s/0"}
 
-// drawn reports whether CI plays a cell: always the same ones.
-func drawn(name string) bool {
-	if slices.Contains(failedOnce, name) {
+// inSample reports whether CI runs a cell. The sample is always the same.
+func inSample(name string) bool {
+	if slices.Contains(regressionCells, name) {
 		return true
 	}
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name))
-	return h.Sum32()%(sampled*8*raceThins) == 0
+	return h.Sum32()%(sampleDivisor*8*raceDivisor) == 0
 }
 
-// cellVMs is enough for gateways where targets take five connections.
+// cellVMs is enough for gateways if targets accept five connections.
 const cellVMs = 6
 
-func playCell(t *testing.T, cell []int, gap time.Duration, connections int) {
-	playOn(t, cellVMs, database.Options{MaxConnections: connections}, func(f *fleet) {
+func runCell(t *testing.T, cell []int, gap time.Duration, connections int) {
+	runFleetWith(t, cellVMs, database.Options{MaxConnections: connections}, func(f *fleet) {
 		load := f.traffic()
 		time.Sleep(time.Second)
-		f.strike(matrixTroubles[cell[0]].strike)
+		f.inject(matrixFaults[cell[0]].inject)
 		time.Sleep(gap)
 		if cell[0] != cell[1] {
-			f.strike(matrixTroubles[cell[1]].strike)
+			f.inject(matrixFaults[cell[1]].inject)
 		}
 		time.Sleep(3 * time.Second)
-		f.strike(matrixTroubles[cell[0]].end)
+		f.inject(matrixFaults[cell[0]].end)
 		if cell[0] != cell[1] {
-			f.strike(matrixTroubles[cell[1]].end)
+			f.inject(matrixFaults[cell[1]].end)
 		}
 		time.Sleep(12 * time.Second)
 		before := load.Sales()
@@ -114,23 +114,23 @@
 		served := load.Sales() > before
 		broken, _, _ := load.End()
 		require.Empty(t, broken)
-		f.fair()
-		require.True(t, served || unservable(cell), "sales go on once all has ended")
+		f.checkInvariants()
+		require.True(t, served || unservable(cell), "writes succeed after all faults have ended")
 	})
 }
 
-// unservable reports whether a cell leaves too few logs to promote from, so that
-// the service rightly waits.
+// unservable reports whether a cell leaves too few logs to promote from, so that the service
+// correctly waits.
 func unservable(cell []int) bool {
-	names := matrixTroubles[cell[0]].name + " " + matrixTroubles[cell[1]].name
+	names := matrixFaults[cell[0]].name + " " + matrixFaults[cell[1]].name
 	return strings.Contains(names, "primary-gone")
 }
 
-// strike carries out the lines of a trouble.
-func (f *fleet) strike(lines string) {
+// inject runs the commands of a fault.
+func (f *fleet) inject(lines string) {
 	for _, line := range strings.Split(lines, ";") {
 		if line != "" {
-			f.do(line)
+			f.execute(line)
 		}
 	}
 }
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -13,10 +13,10 @@
 	"endivemoor.example/endivemoor/spending"
 )
 
-// metricsPath is where the metrics are served.
+// metricsPath is the HTTP path that serves the metrics.
 const metricsPath = "/metrics"
 
-// registerMetrics adds what the daemon itself knows.
+// registerMetrics registers the daemon's own metrics.
 func (e *Edge) registerMetrics() {
 	e.metrics.MustRegister(
 		collectors.NewGoCollector(),
@@ -41,38 +41,37 @@
 	}
 }
 
-// summaryEvery is the interval of the line that shows that a VM is well, or not.
-const summaryEvery = 10 * time.Second
+// summaryInterval is the interval of the log line that shows the health of a VM.
+const summaryInterval = 10 * time.Second
 
-// summarize logs what the VM has served so far, and how old its news are.
+// summarize logs what the VM has served so far, and the age of its lists.
 func (e *Edge) summarize() {
-	t := e.counts.Totals()
+	t := e.engineMetrics.Totals()
 	e.log.Info("summary", zap.Int64("served", t.Served), zap.Int64("failed", t.Failed),
 		zap.Int64("at-replicas", t.AtReplicas), zap.Int64("at-primary", t.AtPrimary),
 		zap.Int("sessions", e.sessions.count()), zap.Duration("store-age", e.evidenceAge(recency.Fleet)),
 		zap.Int64("config", e.catalog.Load().ConfigVersion()), zap.Duration("config-age", e.evidenceAge(recency.Config)),
 		zap.Duration("targets-age", e.evidenceAge(recency.Targets)))
-	e.reportSpent()
+	e.reportSpending()
 }
 
-// reportSpent logs what the VM has spent since its start.
-func (e *Edge) reportSpent() {
-	e.log.Info(spending.Event, append([]zap.Field{zap.String("incarnation", e.incarnation)}, e.spent.Fields()...)...)
+// reportSpending logs the VM's network traffic and calls since its start.
+func (e *Edge) reportSpending() {
+	e.log.Info(spending.Event, append([]zap.Field{zap.String("incarnation", e.incarnation)}, e.meter.Fields()...)...)
 }
 
-// waitedEvery is the interval of the lines that say for which targets requests
-// wait.
-const waitedEvery = time.Second
+// queueReportInterval is the interval of the log lines that list the targets with waiting requests.
+const queueReportInterval = time.Second
 
-// reportWaited logs the targets for which requests wait.
-func (e *Edge) reportWaited() {
+// reportQueues logs the targets with waiting requests.
+func (e *Edge) reportQueues() {
 	for id, l := range e.pool.Waited() {
 		e.log.Info("requests-wait", zap.String("target", string(id)), zap.Int("queued", l.Queued), zap.Int("late", l.Late),
 			zap.Int("in-use", l.InUse), zap.Int("resting", l.Resting), zap.Int("open", l.Open), zap.Duration("served-every", l.Every))
 	}
 }
 
-// serveMetrics serves the metrics. A daemon that cannot serve them goes on.
+// serveMetrics serves the metrics. The daemon continues if that fails.
 func (e *Edge) serveMetrics(addr string) {
 	ln, err := e.net.Listen(addr)
 	if err != nil {
--- a/edge/norace_test.go
+++ b/edge/norace_test.go
@@ -2,5 +2,5 @@
 
 package edge_test
 
-// raceThins leaves the matrix as it is without the race detector.
-const raceThins = 1
+// raceDivisor keeps the whole matrix without the race detector.
+const raceDivisor = 1
--- a/edge/outage.go
+++ b/edge/outage.go
@@ -9,32 +9,31 @@
 	"endivemoor.example/endivemoor/clock"
 )
 
-// outage is what this VM's callers of the store share while it fails: one of them
-// tries it, and the others wait for what comes of that.
+// outage is the state that this VM's callers of the store share while the store fails: one caller
+// tries, and the others wait for its result.
 //
-// Failure guarded against: a store in trouble is called by four callers of each VM,
-// again and again, when it has to come back under that load. It holds because a
-// success of any of them lets all others go on at once, so that nothing is learned
-// later.
+// Failure guarded against: four callers of each VM call a failing store repeatedly, and it must
+// recover under that load. A success of any caller admits all others at once, so that sharing
+// delays no caller.
 type outage struct {
 	clk clock.Clock
 
-	mu    sync.Mutex
-	tries int           // since it began
-	next  clock.Time    // before which nobody tries
-	over  chan struct{} // closed by the next success; nil while the store answers
+	mu        sync.Mutex
+	tries     int           // since the outage began
+	nextTry   clock.Time    // time before which no caller tries
+	recovered chan struct{} // closed by the next success; nil while the store answers
 }
 
-// admit waits until its caller may call the store; false if ctx ended before.
+// admit waits until its caller may call the store; it returns false if ctx ends first.
 func (o *outage) admit(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		over, left := o.turn()
+		recovered, left := o.check()
 		if left <= 0 {
 			return true
 		}
 		timer := time.NewTimer(left)
 		select {
-		case <-over:
+		case <-recovered:
 		case <-timer.C:
 		case <-ctx.Done():
 		}
@@ -43,44 +42,43 @@
 	return false
 }
 
-// turn returns 0 if the caller may go on: the store answers, or it is time for one
-// to try. Else it returns how long to wait, unless the outage is over before.
-func (o *outage) turn() (over <-chan struct{}, left time.Duration) {
+// check returns 0 if the caller may continue, because the store answers or a try is due. Otherwise
+// it returns how long to wait, and a channel that is closed if the outage ends before that.
+func (o *outage) check() (recovered <-chan struct{}, left time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.over == nil {
+	if o.recovered == nil {
 		return nil, 0
 	}
 	now := o.clk.Now()
-	if left := o.next.Sub(now); left > 0 {
-		return o.over, left
+	if left := o.nextTry.Sub(now); left > 0 {
+		return o.recovered, left
 	}
-	o.tried(now)
+	o.recordTry(now)
 	return nil, 0
 }
 
-// tried sets when the next one may try.
-func (o *outage) tried(now clock.Time) {
+// recordTry counts a try and sets the time of the next one.
+func (o *outage) recordTry(now clock.Time) {
 	o.tries++
-	o.next = now.Add(o.pause())
+	o.nextTry = now.Add(o.delay())
 }
 
-func (o *outage) pause() time.Duration {
+func (o *outage) delay() time.Duration {
 	return watchBackoff.Delay(o.tries, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
-// note takes over what came of a call. Calls that were under way as the outage
-// began are part of its beginning: counted one by one they would triple the pause
-// after it.
-func (o *outage) note(err error) {
+// record records the result of a call. Calls that were in flight when the outage began count as one
+// failure: counted one by one they would triple the delay.
+func (o *outage) record(err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
-	case err == nil && o.over != nil:
-		close(o.over)
-		o.over, o.tries = nil, 0
-	case err != nil && o.over == nil:
-		o.over = make(chan struct{})
-		o.tried(o.clk.Now())
+	case err == nil && o.recovered != nil:
+		close(o.recovered)
+		o.recovered, o.tries = nil, 0
+	case err != nil && o.recovered == nil:
+		o.recovered = make(chan struct{})
+		o.recordTry(o.clk.Now())
 	}
 }
--- a/edge/outage_internal_test.go
+++ b/edge/outage_internal_test.go
@@ -14,9 +14,9 @@
 
 var errDown = errors.New("down")
 
-// The store turns three callers away at once. The first tries again after the first
-// pause of one caller, not that of a third failure in a row: a VM that has just
-// started serves nobody until the store has answered.
+// Guards against: a first retry that is delayed as if after three failures in a row because the
+// store refused three callers at once. A VM that has just started serves nothing until the store
+// has answered.
 func TestAnOutageIsTriedAgainSoon(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		o := &outage{clk: monotonic.New()}
@@ -24,7 +24,7 @@
 			require.True(t, o.admit(context.Background()))
 		}
 		for range 3 {
-			o.note(errDown)
+			o.record(errDown)
 		}
 		began := time.Now()
 		require.True(t, o.admit(context.Background()))
@@ -32,17 +32,18 @@
 	})
 }
 
-// One caller has a call under way that will succeed. Another one waits for its turn
-// after many failures, and goes on the moment that the store answers.
-func TestASuccessLetsAllGoOn(t *testing.T) {
+// Guards against: callers that keep waiting after the store has recovered. One caller has a call in
+// flight that will succeed. Another one waits in backoff after many failures, and continues as soon
+// as the store answers.
+func TestSuccessAdmitsAllWaitingCallers(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		o := &outage{clk: monotonic.New()}
-		o.note(errDown)
+		o.record(errDown)
 		for range 10 {
 			require.True(t, o.admit(context.Background()))
-			o.note(errDown)
+			o.record(errDown)
 		}
-		time.AfterFunc(10*time.Millisecond, func() { o.note(nil) })
+		time.AfterFunc(10*time.Millisecond, func() { o.record(nil) })
 		began := time.Now()
 		require.True(t, o.admit(context.Background()))
 		require.Equal(t, 10*time.Millisecond, time.Since(began))
--- a/edge/path_test.go
+++ b/edge/path_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestPurchaseIsReadAtAnotherVM(t *testing.T) {
-	play(t, 3, func(f *fleet) {
+	runFleet(t, 3, func(f *fleet) {
 		buyer := f.session("vm0", exact)
 		bought := buyer.Query("WRITE pass7 paid")
 		require.True(t, bought.OK(), "%+v", bought)
@@ -17,14 +17,14 @@
 		seen := reader.Query("READ pass7")
 		require.True(t, seen.OK(), "%+v", seen)
 		require.Equal(t, []string{"paid"}, seen.Rows)
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// A session renews a pass and looks at it at once. Its read may go to a replica,
-// but must see the session's own write, though replicas are 60 ms behind.
+// Guards against: a session that does not see its own write. Its read may be served by a replica,
+// which lags by 60 ms.
 func TestSessionReadsItsOwnWrite(t *testing.T) {
-	play(t, 2, func(f *fleet) {
+	runFleet(t, 2, func(f *fleet) {
 		c := f.session("vm0", own)
 		for range 20 {
 			require.True(t, c.Query("WRITE pass1 renewed").OK())
@@ -32,14 +32,14 @@
 			require.True(t, c.Query("WRITE pass1 again").OK())
 			require.Equal(t, []string{"again"}, c.Query("READ pass1").Rows)
 		}
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// One replica receives nothing for a while, and still answers reads at once. A
-// session that has just written must not be shown what was there before.
+// Guards against: a session that reads data from before its own write at a lagging replica. The
+// replica receives nothing for a while, but answers reads at once.
 func TestOwnWriteIsNotReadAtALaggingReplica(t *testing.T) {
-	play(t, 1, func(f *fleet) {
+	runFleet(t, 1, func(f *fleet) {
 		c := f.session("vm0", own)
 		require.True(t, c.Query("WRITE pass1 old").OK())
 		require.True(t, c.Query("READ pass1").OK())
@@ -53,12 +53,12 @@
 				require.Equal(t, []string{value}, c.Query("READ pass1").Rows)
 			}
 		}
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
 func TestTransactionKeepsAllOrNothing(t *testing.T) {
-	play(t, 1, func(f *fleet) {
+	runFleet(t, 1, func(f *fleet) {
 		c := f.session("vm0", exact)
 		require.Equal(t, "T", c.Query("BEGIN").State)
 		require.True(t, c.Query("WRITE a 1").OK())
@@ -70,14 +70,15 @@
 		require.Equal(t, []string{"1"}, c.Query("READ a").Rows)
 		require.True(t, c.Query("COMMIT").OK())
 		require.Equal(t, []string{"1"}, c.Query("READ a").Rows)
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
-// Two passengers' sessions prepare different statements under the same name,
-// and set different values. On a shared connection one would run the other's.
+// Guards against: sessions that share prepared statements or settings. Two sessions prepare
+// different statements under the same name and set different values; on a shared connection one
+// would run the other's statement.
 func TestNamesAndValuesAreTheSessionsOwn(t *testing.T) {
-	play(t, 1, func(f *fleet) {
+	runFleet(t, 1, func(f *fleet) {
 		first, second := f.session("vm0", exact), f.session("vm0", exact)
 		require.True(t, first.Query("PREPARE s WRITE qa").OK())
 		require.True(t, second.Query("PREPARE s READ qb").OK())
@@ -88,12 +89,12 @@
 		}
 		require.True(t, first.Query("DEALLOC s").OK())
 		require.Equal(t, "NOSTMT", first.Query("EXEC s pass3 paid").Code)
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
 func TestUnknownDatabaseAndNewRoute(t *testing.T) {
-	play(t, 2, func(f *fleet) {
+	runFleet(t, 2, func(f *fleet) {
 		_, refused := f.world.Open("consumer", f.vms["vm0"].addr, "nosuch")
 		require.Equal(t, "NODB", refused.Code)
 		routes := standardRoutes()
@@ -106,10 +107,10 @@
 	})
 }
 
-// A consumer sends what breaks the protocol. It must get a clear error, and the
-// session beside it nothing of it.
+// Guards against: malformed input of one session that affects another one. The sender must get a
+// clear error.
 func TestMalformedInputHurtsNobodyElse(t *testing.T) {
-	play(t, 1, func(f *fleet) {
+	runFleet(t, 1, func(f *fleet) {
 		c, good := f.session("vm0", exact), f.session("vm0", exact)
 		require.Equal(t, "MALFORMED", c.Query("EXPLODE now").Code)
 		require.Equal(t, "MALFORMED", c.Query("COMMIT").Code)
--- a/edge/pulls.go
+++ b/edge/pulls.go
@@ -13,30 +13,30 @@
 	"endivemoor.example/endivemoor/internal/wait"
 )
 
-// newsLostAfter is for how long no peer must have answered before a VM logs that it
-// hears no news.
-const newsLostAfter = time.Second
+// updatesLostAfter is how long no peer must have answered before a VM logs that it receives no
+// updates.
+const updatesLostAfter = time.Second
 
-// apartAfter is for how long no peer must have been reached before a VM takes itself for
-// cut off: two rounds of pulls, and the time that a call has.
-const apartAfter = 600 * time.Millisecond
+// isolatedAfter is how long no peer must have been reached before a VM considers itself isolated:
+// two rounds of pulls and the timeout of a call.
+const isolatedAfter = 600 * time.Millisecond
 
-// Results of pulls, as the metrics name them.
+// Results of pulls, as labels of the metric.
 const (
 	pullAnswered = "answered"
 	pullTimedOut = "timed-out"
 	pullFailed   = "failed"
 )
 
-// pullOutcomes tells people what became of pulls: counters by result, and a line when
-// news are lost and regained.
+// pullOutcomes records the results of pulls: counters by result, and a log line when updates stop
+// and when they resume.
 type pullOutcomes struct {
 	log     *zap.Logger
 	results *prometheus.CounterVec
 
 	mu       sync.Mutex
 	answered clock.Time
-	// reached is when a peer has answered, or its host has refused a connection.
+	// reached is when a peer last answered, or its host last refused a connection.
 	reached clock.Time
 	missed  int
 	lost    bool
@@ -49,8 +49,8 @@
 	return pullOutcomes{log: log, results: results, answered: started, reached: started}
 }
 
-// note takes over what became of one pull from a peer.
-func (o *pullOutcomes) note(now clock.Time, peer string, err error) {
+// record records the result of one pull from a peer.
+func (o *pullOutcomes) record(now clock.Time, peer string, err error) {
 	o.results.WithLabelValues(pullResult(err)).Inc()
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 	if err != nil {
 		o.missed++
-		o.noteLost(now, peer, err)
+		o.logLost(now, peer, err)
 		return
 	}
 	if o.lost {
@@ -68,19 +68,19 @@
 	o.answered, o.missed, o.lost = now, 0, false
 }
 
-func (o *pullOutcomes) noteLost(now clock.Time, peer string, err error) {
-	if o.lost || now.Sub(o.answered) < newsLostAfter {
+func (o *pullOutcomes) logLost(now clock.Time, peer string, err error) {
+	if o.lost || now.Sub(o.answered) < updatesLostAfter {
 		return
 	}
 	o.lost = true
 	o.log.Warn("news-lost", zap.Int("missed", o.missed), zap.String("peer", peer), zap.String("result", pullResult(err)), zap.Error(err))
 }
 
-// reaches reports whether this VM has reached any peer lately, or has not tried.
+// reaches reports whether this VM has recently reached any peer, or has not tried.
 func (o *pullOutcomes) reaches(now clock.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.missed == 0 || now.Sub(o.reached) < apartAfter
+	return o.missed == 0 || now.Sub(o.reached) < isolatedAfter
 }
 
 func pullResult(err error) string {
--- a/edge/pulls_internal_test.go
+++ b/edge/pulls_internal_test.go
@@ -15,15 +15,15 @@
 	"endivemoor.example/endivemoor/clock"
 )
 
-// Guards against a VM that hears no news and says so nowhere, or in every pull.
-func TestLossOfNewsIsLoggedOnce(t *testing.T) {
+// Guards against: a VM that receives no updates and does not log it, or logs it for every pull.
+func TestLossOfUpdatesIsLoggedOnce(t *testing.T) {
 	core, lines := observer.New(zapcore.InfoLevel)
 	o := newPullOutcomes(zap.New(core), prometheus.NewRegistry(), clock.Time(time.Minute))
-	late := errors.Wrap(context.DeadlineExceeded, "pull from x")
+	timeout := errors.Wrap(context.DeadlineExceeded, "pull from x")
 	for at := range 20 {
-		o.note(clock.Time(time.Minute).Add(time.Duration(at)*200*time.Millisecond), "vm1", late)
+		o.record(clock.Time(time.Minute).Add(time.Duration(at)*200*time.Millisecond), "vm1", timeout)
 	}
-	o.note(clock.Time(time.Minute).Add(4*time.Second), "vm2", nil)
+	o.record(clock.Time(time.Minute).Add(4*time.Second), "vm2", nil)
 	require.Equal(t, 2, lines.Len())
 	lost, regained := lines.All()[0].ContextMap(), lines.All()[1].ContextMap()
 	require.Equal(t, pullTimedOut, lost["result"])
--- a/edge/relays.go
+++ b/edge/relays.go
@@ -9,19 +9,18 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// relaySlack is how much longer than its own VM a transaction that is open for
-// another VM is kept: that one ends it first, unless it is gone.
+// relaySlack is how much longer a transaction opened for another VM is retained than on that VM,
+// which ends it first unless it is dead.
 const relaySlack = time.Second
 
-// relays reports whether this VM takes other VMs' work for a target. One that
-// leaves does not: the others find another gateway at once.
-func (e *Edge) relays(id target.ID) bool {
-	return !e.ends.leaving.Load() && e.catalog.Load().Targets[id] != nil
+// acceptsRelayFor reports whether this VM accepts other VMs' work for a target. A leaving VM does
+// not, so that the others choose another gateway at once.
+func (e *Edge) acceptsRelayFor(id target.ID) bool {
+	return !e.shutdown.leaving.Load() && e.catalog.Load().Targets[id] != nil
 }
 
-// relayIdle is how long a transaction may be open for another VM without a
-// statement.
-func (e *Edge) relayIdle() time.Duration {
+// relayIdleTimeout is how long a transaction opened for another VM may be without a statement.
+func (e *Edge) relayIdleTimeout() time.Duration {
 	idle := relaySlack
 	if c := e.catalog.Load().Config; c != nil {
 		idle += c.TransactionIdle
@@ -29,16 +28,16 @@
 	return idle
 }
 
-// asker carries the groups' questions and orders by the daemon's router, which
-// is made after the groups.
-type asker struct{ edge *Edge }
+// controlClient sends the groups' status queries and commands through the daemon's router, which is
+// created after the groups.
+type controlClient struct{ edge *Edge }
 
-// Control implements groups.Asker.
-func (a asker) Control(ctx context.Context, id target.ID, ask lane.Ask, timeout time.Duration) ([]string, error) {
+// Control implements groups.ControlClient.
+func (a controlClient) Control(ctx context.Context, id target.ID, ask lane.Ask, timeout time.Duration) ([]string, error) {
 	return relay.Asker{Router: a.edge.router}.Control(ctx, id, ask, timeout)
 }
 
-// Recent implements groups.Asker.
-func (a asker) Recent(ctx context.Context, id target.ID, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
+// Recent implements groups.ControlClient.
+func (a controlClient) Recent(ctx context.Context, id target.ID, maxAge, timeout time.Duration) ([]string, time.Duration, error) {
 	return relay.Asker{Router: a.edge.router}.Recent(ctx, id, maxAge, timeout)
 }
--- a/edge/sessions.go
+++ b/edge/sessions.go
@@ -19,23 +19,23 @@
 const (
 	// startupTimeout bounds the wait for a consumer's first message.
 	startupTimeout = 5 * time.Second
-	// writeTimeout bounds sending an answer: a consumer that does not read must
-	// not hold a session, and what it has open at a target, for longer.
+	// writeTimeout bounds sending an answer, and so how long a consumer that does not read can hold
+	// a session and its open resources at a target.
 	writeTimeout = 4 * time.Second
-	// configPatience is how long a consumer waits for a VM's first configuration. The
-	// users' consumers leave after 2 s, and have 1.5 s for most operations: half of
-	// that is left to try elsewhere.
-	configPatience = 750 * time.Millisecond
-	// descriptorPart is the part of the process's descriptors for consumers.
-	descriptorPart = 0.75
+	// configTimeout is how long a consumer waits for a VM's first configuration. The users'
+	// consumers disconnect after 2 s, and have 1.5 s for most operations; this leaves half of that
+	// for a try on another VM.
+	configTimeout = 750 * time.Millisecond
+	// descriptorFraction is the fraction of the process's file descriptors for consumers.
+	descriptorFraction = 0.75
 )
 
-// sessions serves the consumers' connections.
+// sessions serves consumers' connections.
 type sessions struct {
-	edge    *Edge
-	most    int
-	closing atomic.Bool
-	// aborting is set once open transactions must end as well.
+	edge        *Edge
+	maxSessions int
+	closing     atomic.Bool
+	// aborting is set once open transactions must end too.
 	aborting atomic.Bool
 
 	mu   sync.Mutex
@@ -43,7 +43,7 @@
 }
 
 func newSessions(e *Edge) *sessions {
-	return &sessions{edge: e, most: int(float64(e.set.Limits.Descriptors) * descriptorPart), open: make(map[*line.Consumer]bool)}
+	return &sessions{edge: e, maxSessions: int(float64(e.settings.Limits.Descriptors) * descriptorFraction), open: make(map[*line.Consumer]bool)}
 }
 
 func (s *sessions) accept(ln net.Listener) error {
@@ -85,19 +85,20 @@
 	if err := c.Ready(writeTimeout); err != nil {
 		return
 	}
-	s.converse(c, session)
+	s.serveStatements(c, session)
 	session.Close()
 }
 
-// awaitConfig waits until this VM has its first configuration, unless it leaves or
-// that takes too long. Consumers who return to a VM that starts are there before the
-// store has answered: on a day on which all VMs lose their power 131 of them were
-// refused for good.
+// awaitConfig waits until this VM has its first configuration, for at most configTimeout, or until
+// it leaves.
+//
+// Failure guarded against: after a power loss of all VMs, consumers reconnect to a starting VM
+// before the store has answered, and are refused for good.
 func (s *sessions) awaitConfig() {
 	if s.edge.catalog.Load().Config != nil {
 		return
 	}
-	timer := time.NewTimer(configPatience)
+	timer := time.NewTimer(configTimeout)
 	defer timer.Stop()
 	for {
 		changed := s.edge.catalog.Changed()
@@ -121,8 +122,8 @@
 	}
 }
 
-// converse answers one statement after the other until the session ends.
-func (s *sessions) converse(c *line.Consumer, session *engine.Session) {
+// serveStatements answers one statement after the other until the session ends.
+func (s *sessions) serveStatements(c *line.Consumer, session *engine.Session) {
 	expired := false
 	for {
 		if s.mayClose(c, session) {
@@ -160,8 +161,8 @@
 	}
 }
 
-// mayClose reports whether a session can be ended between two operations,
-// because this VM is leaving.
+// mayClose reports whether a session can be closed between two operations because this VM is
+// leaving.
 func (s *sessions) mayClose(c *line.Consumer, session *engine.Session) bool {
 	if !s.closing.Load() || c.Pending() {
 		return false
@@ -172,7 +173,7 @@
 func (s *sessions) add(c *line.Consumer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.most > 0 && len(s.open) >= s.most {
+	if s.maxSessions > 0 && len(s.open) >= s.maxSessions {
 		return false
 	}
 	s.open[c] = true
@@ -192,7 +193,7 @@
 	return len(s.open)
 }
 
-// interrupt wakes sessions that wait for their next statement.
+// interrupt interrupts sessions that wait for their next statement.
 func (s *sessions) interrupt() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- /dev/null
+++ b/edge/shutdown.go
@@ -0,0 +1,67 @@
+package edge
+
+import (
+	"context"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+)
+
+const (
+	// balancerNoticeTime is how long a leaving VM serves as before: the balancer polls once a
+	// second and needs two refusals to send consumers elsewhere. Consumers whose idle sessions are
+	// closed sooner reconnect to this VM.
+	balancerNoticeTime = 2300 * time.Millisecond
+	// interruptInterval is how often idle sessions are interrupted so that they notice the
+	// shutdown.
+	interruptInterval = 50 * time.Millisecond
+	// exitReserve is the part of the grace period that is reserved for the exit of the process
+	// before it is killed.
+	exitReserve = 700 * time.Millisecond
+	// transactionFraction is the fraction of the grace period during which open transactions may
+	// continue.
+	transactionFraction = 0.5
+)
+
+// shutdownState is the state of a daemon's shutdown.
+type shutdownState struct{ leaving atomic.Bool }
+
+// readyHandler handles the balancer's readiness checks. It responds 200 while this VM can serve and
+// is not leaving.
+func (e *Edge) readyHandler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
+		if e.shutdown.leaving.Load() || !e.catalog.Load().Complete() {
+			w.WriteHeader(http.StatusServiceUnavailable)
+			return
+		}
+		w.WriteHeader(http.StatusOK)
+	})
+	return mux
+}
+
+// shutDownGracefully reports not ready at once, closes sessions between operations after the
+// balancer has had time to notice, ends open transactions after their fraction of the grace period,
+// and returns before the process is killed.
+func (e *Edge) shutDownGracefully(ctx context.Context) {
+	start := time.Now()
+	grace := e.settings.Stop()
+	e.log.Info("leaving", zap.Int("sessions", e.sessions.count()), zap.Duration("grace", grace))
+	e.shutdown.leaving.Store(true)
+	go e.fleetEntry.remove(ctx)
+	time.Sleep(min(balancerNoticeTime, grace/3))
+	e.sessions.closing.Store(true)
+	for e.sessions.count()+e.relay.Count() > 0 && time.Since(start) < grace-exitReserve {
+		if time.Since(start) > time.Duration(float64(grace)*transactionFraction) {
+			e.sessions.aborting.Store(true)
+		}
+		e.sessions.interrupt()
+		time.Sleep(interruptInterval)
+	}
+	for _, ln := range e.listeners {
+		_ = ln.Close()
+	}
+	e.log.Info("left", zap.Int("sessions", e.sessions.count()), zap.Duration("after", time.Since(start)))
+}
--- a/edge/stall_test.go
+++ b/edge/stall_test.go
@@ -9,29 +9,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// told counts what the writers of a fleet were told.
-type told struct {
-	mu                     sync.Mutex
-	served, doubt, refused int
+// outcomes counts the results of a fleet's consumers.
+type outcomes struct {
+	mu                       sync.Mutex
+	served, inDoubt, refused int
 }
 
-func (t *told) count(code string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (o *outcomes) count(code string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	switch code {
 	case "":
-		t.served++
+		o.served++
 	case "INDOUBT", "TIMEOUT":
-		t.doubt++
+		o.inDoubt++
 	default:
-		t.refused++
+		o.refused++
 	}
 }
 
-// sellAtOnce has a number of consumers at each VM do the same now and then until
-// a time has passed, by turns at some databases.
-func sellAtOnce(f *fleet, dbs []string, consumers int, during time.Duration, op func(i int) []string) *told {
-	var out told
+// runConsumers has a number of consumers at each VM repeat an operation for the given time. The
+// consumers alternate between the databases.
+func runConsumers(f *fleet, dbs []string, consumers int, during time.Duration, op func(i int) []string) *outcomes {
+	var out outcomes
 	var wait sync.WaitGroup
 	until := time.Now().Add(during)
 	for i := range consumers * len(f.vms) {
@@ -60,56 +60,55 @@
 	return &out
 }
 
-// stall cuts the primary's replicas off from everybody: it answers, but no write
-// can be confirmed, and nobody can be promoted.
-func stall(f *fleet) {
+// cutReplicas cuts the primary's replicas off from all targets and VMs: the primary answers, but no
+// write can be confirmed, and no target can be promoted.
+func cutReplicas(f *fleet) {
 	for _, id := range []string{"ledger-1", "ledger-2"} {
-		f.do("deafen " + id)
+		f.execute("deafen " + id)
 		for vm := range f.vms {
-			f.do("cut " + vm + " " + id)
+			f.execute("cut " + vm + " " + id)
 		}
 	}
 }
 
-// A primary has lost both replicas, which nobody else reaches either. Nothing
-// that is bought there can be confirmed. Passengers whose purchase was sent are
-// left in doubt, and each VM would go on sending, one after the other, though it
-// knows by then that none is confirmed: all others are told that theirs has not
-// run, and when to come back.
+// Guards against: VMs that keep sending writes to a primary that cannot confirm any. The primary
+// has lost both replicas, which no VM reaches either. Consumers whose write was sent are left in
+// doubt. All others must be refused with a retry-after before their write has run, and not be sent
+// one after the other at each VM.
 func TestStalledPrimaryLeavesFewInDoubt(t *testing.T) {
 	for name, op := range map[string]func(i int) []string{
 		"writes":       func(i int) []string { return []string{fmt.Sprintf("WRITE i%d paid", i)} },
 		"transactions": func(i int) []string { return []string{"BEGIN", fmt.Sprintf("WRITE i%d paid", i), "COMMIT"} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 3, func(f *fleet) {
-				stall(f)
-				got := sellAtOnce(f, []string{exact}, 8, 4*time.Second, op)
-				t.Logf("served %d, in doubt %d, refused %d", got.served, got.doubt, got.refused)
-				require.LessOrEqual(t, got.doubt, 40, "about ten of the first 0.6 s, and at each VM one every 0.65 s; 45 and more where none waits")
-				require.Greater(t, got.refused, 2*got.doubt)
-				f.do("undeafen ledger-1")
-				f.do("undeafen ledger-2")
-				f.do("heal-all")
+			runFleet(t, 3, func(f *fleet) {
+				cutReplicas(f)
+				got := runConsumers(f, []string{exact}, 8, 4*time.Second, op)
+				t.Logf("served %d, in doubt %d, refused %d", got.served, got.inDoubt, got.refused)
+				require.LessOrEqual(t, got.inDoubt, 40, "about ten in the first 0.6 s, and then one every 0.65 s at each VM; 45 and more if writes are not held back")
+				require.Greater(t, got.refused, 2*got.inDoubt)
+				f.execute("undeafen ledger-1")
+				f.execute("undeafen ledger-2")
+				f.execute("heal-all")
 				time.Sleep(2 * time.Second)
-				after := sellAtOnce(f, []string{exact}, 8, time.Second, op)
-				require.Zero(t, after.doubt+after.refused, "sales go on at once when the replicas are back")
-				f.fair()
+				after := runConsumers(f, []string{exact}, 8, time.Second, op)
+				require.Zero(t, after.inDoubt+after.refused, "writes succeed as soon as the replicas are back")
+				f.checkInvariants()
 			})
 		})
 	}
 }
 
-// The same primary is replaced, since its replicas can be reached by the fleet.
-// Purchases that come while that is under way wait for it and are served.
+// Guards against: writes that fail while a stalled primary is being replaced. The fleet reaches the
+// replicas, and writes that arrive during the change are queued and served.
 func TestWritesWaitForTheSuccessorOfAStalledPrimary(t *testing.T) {
-	play(t, 3, func(f *fleet) {
-		f.do("deafen ledger-0")
-		got := sellAtOnce(f, []string{exact}, 8, 4*time.Second, func(i int) []string { return []string{fmt.Sprintf("WRITE i%d paid", i)} })
-		t.Logf("served %d, in doubt %d, refused %d", got.served, got.doubt, got.refused)
+	runFleet(t, 3, func(f *fleet) {
+		f.execute("deafen ledger-0")
+		got := runConsumers(f, []string{exact}, 8, 4*time.Second, func(i int) []string { return []string{fmt.Sprintf("WRITE i%d paid", i)} })
+		t.Logf("served %d, in doubt %d, refused %d", got.served, got.inDoubt, got.refused)
 		require.NotEqual(t, "ledger-0", f.group.Leader())
-		require.LessOrEqual(t, got.doubt, 13, "14 where none waits")
+		require.LessOrEqual(t, got.inDoubt, 13, "14 if writes do not wait for the successor")
 		require.Less(t, got.refused, got.served/10)
-		f.fair()
+		f.checkInvariants()
 	})
 }
--- a/edge/starts_test.go
+++ b/edge/starts_test.go
@@ -10,11 +10,11 @@
 	"endivemoor.example/endivemoor/catalog"
 )
 
-// A VM starts anew, and reads lists that the store made some seconds ago: a route was
-// added since, and the target that led is gone. Its consumers must find the route, and
-// nobody may wait for that target.
+// startAmongOldLists restarts a VM that then reads lists which are some seconds old: a route was
+// added since, and the primary was removed. Its consumers must find the route, and no request may
+// wait for that target.
 func startAmongOldLists(t *testing.T, vms int) {
-	play(t, vms, func(f *fleet) {
+	runFleet(t, vms, func(f *fleet) {
 		f.world.Store.HoldStale()
 		route := catalog.Route{Database: "extra", Service: service, Freshness: catalog.Exact, StatementTimeout: time.Second, Objective: time.Second}
 		f.world.SetRoutes(append(standardRoutes(), route)...)
@@ -23,12 +23,12 @@
 		time.Sleep(4 * time.Second)
 		f.kill("vm1")
 		time.Sleep(500 * time.Millisecond)
-		f.again("vm1")
+		f.restartVM("vm1")
 		time.Sleep(2 * time.Second)
 		start := time.Now()
 		require.True(t, f.session("vm1", "extra").Query("WRITE a 1").OK())
 		require.Less(t, time.Since(start), 200*time.Millisecond)
-		f.fair()
+		f.checkInvariants()
 	})
 }
 
@@ -36,12 +36,12 @@
 
 func TestStartAmongOldListsInALargeFleet(t *testing.T) { startAmongOldLists(t, 30) }
 
-// Thirty VMs start at the same moment, as after a loss of power. Each writes its
-// entry; what it reads at the store's full price, and waits for there, must not grow
-// with the fleet: it is told of it by others.
+// Guards against: a cost that grows with the fleet when all VMs start at once, as after a power
+// loss. Each VM writes its entry; what it reads at the store's full price, and waits for, must not
+// grow with the fleet, because other VMs send it.
 func TestAFleetThatStartsCallsTheStoreLittle(t *testing.T) {
 	const vms = 30
-	play(t, vms, func(f *fleet) {
+	runFleet(t, vms, func(f *fleet) {
 		time.Sleep(3 * time.Second)
 		for name := range f.vms {
 			f.kill(name)
@@ -49,7 +49,7 @@
 		time.Sleep(time.Second)
 		before := f.world.Store.Calls() - f.world.Store.StaleCalls()
 		for name := range f.vms {
-			f.again(name)
+			f.restartVM(name)
 		}
 		time.Sleep(3 * time.Second)
 		for name := range f.vms {
@@ -62,15 +62,15 @@
 	})
 }
 
-// A fleet starts for the first time. What the operator and the targets have written
-// just now is on no list that may be old, and no VM is on the fleet's. All VMs must serve
-// before the first consumers come, ten seconds later.
+// Guards against: a fleet that serves too late after its first start. The newest entries of the
+// operator and of the targets are missing from outdated lists, and the fleet's list is empty. All
+// VMs must serve before the first consumers connect, ten seconds later.
 func TestAFleetStartsForTheFirstTime(t *testing.T) {
 	const vms = 30
-	play(t, 0, func(f *fleet) {
+	runFleet(t, 0, func(f *fleet) {
 		f.firstStart = true
 		for _, kind := range f.world.Store.Kinds() {
-			require.NotEqual(t, "endivemoor", kind, "no VM was there before")
+			require.NotEqual(t, "endivemoor", kind, "the fleet has no entries before its first start")
 		}
 		f.world.Store.HoldStaleEmpty()
 		for i := range vms {
@@ -82,7 +82,7 @@
 		}
 		calls := f.world.Store.Calls() - f.world.Store.StaleCalls()
 		t.Logf("%d calls", calls)
-		// An entry and three lists for each VM, and nine seconds of six that watch.
+		// One entry and three lists for each VM, and nine seconds of six VMs that watch.
 		require.Less(t, calls, 4*vms+6*3*9)
 	})
 }
--- a/edge/story_test.go
+++ b/edge/story_test.go
@@ -14,15 +14,15 @@
 	"endivemoor.example/endivemoor/platform/standin/traffic"
 )
 
-// stories are the files of testdata/fleet but for their page.
-const stories = "testdata/fleet"
+// scenarioDir holds the scenario files and a README.
+const scenarioDir = "testdata/fleet"
 
-// TestStories plays the stories, each with whole daemons in virtual time. The
-// language is in testdata/fleet/README.md.
+// TestStories runs the scenario files, each with whole daemons in virtual time. Their language is
+// described in testdata/fleet/README.md.
 func TestStories(t *testing.T) {
-	datadriven.Walk(t, stories, func(t *testing.T, path string) {
+	datadriven.Walk(t, scenarioDir, func(t *testing.T, path string) {
 		if strings.HasSuffix(path, ".md") {
-			t.Skip("the page of the language")
+			t.Skip("README of the scenario language")
 		}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			require.Equal(t, "fleet", d.Cmd)
@@ -30,37 +30,37 @@
 			d.MaybeScanArgs(t, "vms", &vms)
 			d.MaybeScanArgs(t, "connections", &connections)
 			var out strings.Builder
-			playOn(t, vms, database.Options{MaxConnections: connections}, func(f *fleet) {
-				newStory(f, &out).play(strings.Split(d.Input, "\n"))
+			runFleetWith(t, vms, database.Options{MaxConnections: connections}, func(f *fleet) {
+				newScenarioRunner(f, &out).run(strings.Split(d.Input, "\n"))
 			})
 			return out.String()
 		})
 	})
 }
 
-// story is one that is being played.
-type story struct {
+// scenarioRunner runs one scenario.
+type scenarioRunner struct {
 	f        *fleet
 	out      *strings.Builder
 	sessions map[string]*consumer.Session
 	traffic  *traffic.Traffic
 }
 
-func newStory(f *fleet, out *strings.Builder) *story {
-	return &story{f: f, out: out, sessions: make(map[string]*consumer.Session)}
+func newScenarioRunner(f *fleet, out *strings.Builder) *scenarioRunner {
+	return &scenarioRunner{f: f, out: out, sessions: make(map[string]*consumer.Session)}
 }
 
-func (s *story) play(lines []string) {
+func (s *scenarioRunner) run(lines []string) {
 	for _, line := range lines {
-		s.line(line)
+		s.execute(line)
 	}
 }
 
-func (s *story) line(line string) {
+func (s *scenarioRunner) execute(line string) {
 	word, rest, _ := strings.Cut(line, " ")
 	switch word {
 	case "wait":
-		time.Sleep(length(rest))
+		time.Sleep(parseDuration(rest))
 	case "session":
 		w := strings.Fields(rest)
 		s.sessions[w[0]] = s.f.session(w[1], w[2])
@@ -70,22 +70,22 @@
 	case "traffic":
 		s.traffic = s.f.traffic()
 	case "judge":
-		s.judge()
+		s.reportResult()
 	case "primary":
 		s.printf("primary %s\n", s.f.group.Leader())
 	case "promotions":
 		s.printf("promotions %d\n", len(s.f.world.Store.Duties()))
 	default:
-		s.f.do(line)
+		s.f.execute(line)
 	}
 }
 
-func (s *story) printf(format string, args ...any) { fmt.Fprintf(s.out, format, args...) }
+func (s *scenarioRunner) printf(format string, args ...any) { fmt.Fprintf(s.out, format, args...) }
 
-// judge prints what was broken, and that sales went on.
-func (s *story) judge() {
+// reportResult prints the broken promises, and whether writes succeeded.
+func (s *scenarioRunner) reportResult() {
 	broken, sales, gap := s.traffic.End()
-	s.f.fair()
+	s.f.checkInvariants()
 	for _, b := range broken {
 		s.printf("%s\n", b)
 	}
@@ -95,10 +95,10 @@
 	s.printf("sales go on: %t, longest pause below %s\n", sales > 0, bucket(gap))
 }
 
-// bucket rounds a pause up, so that the order in which goroutines run does not
-// show. The first is for one change of primary after a crash: it takes 415 ms
-// here, and the writes before and after it 65 ms each, as the last one before may
-// have been lost with the primary; callers pause for 25 ms.
+// bucket rounds a pause up, so that the output does not depend on the order in which goroutines
+// run. The first bucket covers one change of primary after a crash: it takes 415 ms here, and the
+// writes before and after it 65 ms each, because the last one before may have been lost with the
+// primary; consumers pause for 25 ms.
 func bucket(d time.Duration) time.Duration {
 	for _, b := range []time.Duration{600 * time.Millisecond, 2 * time.Second, 4 * time.Second, 10 * time.Second} {
 		if d < b {
--- a/edge/trouble_test.go
+++ b/edge/trouble_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// trouble is one thing that may be done to a fleet, by its words in a story.
-// The words after the first are names; see testdata/fleet/README.md.
-var troubles = map[string]func(f *fleet, args []string){
+// faultCommands maps the commands of scenarios to faults of a fleet. The arguments are names; see
+// testdata/fleet/README.md.
+var faultCommands = map[string]func(f *fleet, args []string){
 	"crash":   func(f *fleet, a []string) { f.world.Crash(service, a[0]) },
 	"restart": func(f *fleet, a []string) { f.world.Restart(service, a[0]) },
 	"remove":  func(f *fleet, a []string) { f.world.Remove(service, a[0]) },
@@ -21,15 +21,15 @@
 		f.group.SetDeaf(a[0], false)
 	},
 	"join":         func(f *fleet, a []string) { f.world.AddServer(service, a[0], a[1]) },
-	"lose-answers": func(f *fleet, a []string) { f.group.LoseAnswers(a[0], number(a[1])) },
+	"lose-answers": func(f *fleet, a []string) { f.group.LoseAnswers(a[0], parseInt(a[1])) },
 	"kill":         func(f *fleet, a []string) { f.kill(a[0]) },
 	"stop":         func(f *fleet, a []string) { f.vms[a[0]].stop() },
-	"again":        func(f *fleet, a []string) { f.again(a[0]) },
+	"again":        func(f *fleet, a []string) { f.restartVM(a[0]) },
 	"cut":          func(f *fleet, a []string) { f.world.Net.Cut(a[0], a[1]) },
 	"heal":         func(f *fleet, a []string) { f.world.Net.Heal(a[0], a[1]) },
 	"heal-all":     func(f *fleet, _ []string) { f.world.Net.HealAll() },
 	"isolate":      func(f *fleet, a []string) { f.isolate(a[0]) },
-	"slow-net":     func(f *fleet, a []string) { f.world.Net.SetDelay(length(a[0])) },
+	"slow-net":     func(f *fleet, a []string) { f.world.Net.SetDelay(parseDuration(a[0])) },
 	"store": func(f *fleet, a []string) {
 		switch a[0] {
 		case "down":
@@ -37,30 +37,30 @@
 		case "up":
 			f.world.Store.SetDown(false)
 		case "loses":
-			f.world.Store.LoseAnswers(number(a[1]))
+			f.world.Store.LoseAnswers(parseInt(a[1]))
 		case "forgets":
 			f.world.Store.DropHistory()
 		case "restored":
-			f.world.RestoreStore(length(a[1]), length(a[2]))
+			f.world.RestoreStore(parseDuration(a[1]), parseDuration(a[2]))
 		case "refuses":
 			f.world.CutFromStore(a[1], true)
 		default:
-			panic("store " + a[0])
+			panic("unknown store command: " + a[0])
 		}
 	},
 }
 
-// do carries out a line such as "crash ledger-0".
-func (f *fleet) do(line string) {
+// execute runs a command such as "crash ledger-0".
+func (f *fleet) execute(line string) {
 	words := strings.Fields(line)
-	act := troubles[words[0]]
-	if act == nil {
-		panic(fmt.Sprintf("no such trouble: %q", line))
+	command := faultCommands[words[0]]
+	if command == nil {
+		panic(fmt.Sprintf("unknown scenario command: %q", line))
 	}
-	act(f, words[1:])
+	command(f, words[1:])
 }
 
-func number(word string) int {
+func parseInt(word string) int {
 	var n int
 	if _, err := fmt.Sscan(word, &n); err != nil {
 		panic(err)
@@ -68,7 +68,7 @@
 	return n
 }
 
-func length(word string) time.Duration {
+func parseDuration(word string) time.Duration {
 	d, err := time.ParseDuration(word)
 	if err != nil {
 		panic(err)
