--- a/edge/watch.go
+++ b/edge/watch.go
@@ -15,64 +15,65 @@
 )
 
 const (
-	// watchWait is how long one watch call waits for news of a kind that has no
-	// bound of its own. A call that returns without news costs as much as one with.
+	// watchWait is how long one watch call waits for changes of a kind that has no bound of its
+	// own. A call that returns no changes costs as much as one that does.
 	watchWait = 10 * time.Second
-	// fleetWait is that of the fleet's own records: it bounds the age of the
-	// list that permissions go by. It is below newsAge.
+	// fleetWait is the wait for the fleet's own records. It bounds the age of the list that
+	// permissions are based on. It is below maxEvidenceAge.
 	fleetWait = 2 * time.Second
-	// watchPart is the part of a bound that one watch call may wait: a change
-	// that a silent watch has missed must still be in force in time, after
-	// objects.AnswerWithin and the list that follows, and the evidence that a call brings must
-	// reach all VMs before they look for themselves.
-	watchPart = 0.25
+	// watchFraction is the fraction of a bound that one watch call may wait. A change that a
+	// hanging watch has missed must still be in force within the bound, after objects.AnswerWithin
+	// and the list that follows, and the evidence from a call must reach all VMs before they start
+	// their own watches.
+	watchFraction = 0.25
 	// callTimeout bounds a call to the store that changes or reads one small object.
 	callTimeout = 1200 * time.Millisecond
-	// thickWithin is how soon after it was sent a watch call must bring news for these
-	// to come thick.
-	thickWithin = 100 * time.Millisecond
-	// thickFrom is how many calls in a row must have: the changes of one event, such
-	// as a change of primary, are told at once.
-	thickFrom = 2
-	// minGather and maxGather bound the pause in which news that come thick gather.
-	minGather = 50 * time.Millisecond
-	maxGather = 400 * time.Millisecond
-	// firstRetries and emptyPause are how often and after which pause a fleet that
-	// starts for the first time reads empty lists again: what the others have written
-	// just now is on them some seconds later, and nobody is served before.
-	firstRetries = 3
-	emptyPause   = time.Second
+	// burstWithin is how soon after it was sent a watch call must return changes to count towards a
+	// burst.
+	burstWithin = 100 * time.Millisecond
+	// burstFrom is how many calls in a row make a burst. The changes of one event, such as a change
+	// of primary, are reported at once.
+	burstFrom = 2
+	// minBatchDelay and maxBatchDelay bound the pause in which the changes of a burst are batched.
+	minBatchDelay = 50 * time.Millisecond
+	maxBatchDelay = 400 * time.Millisecond
+	// emptyListRetries and emptyListDelay are how often, and after which pause, a fleet that starts
+	// for the first time reads an empty list again. Entries that the others have just written
+	// appear in the list some seconds later, and no consumer is served before that.
+	emptyListRetries = 3
+	emptyListDelay   = time.Second
 )
 
-// watchBackoff spreads the calls of VMs that lost the store together.
+// watchBackoff spreads the calls of VMs that lost the store at the same time.
 var watchBackoff = retry.Backoff{Base: 50 * time.Millisecond, Max: time.Second}
 
-// follower takes over what a watch of one kind has learned.
+// follower applies the objects of one kind that a watch receives.
 type follower interface {
-	// replace takes over all objects, after a list.
+	// replace replaces all objects, after a list.
 	replace(items map[string]*objects.Object)
-	// apply takes over one change.
+	// apply applies one change.
 	apply(o *objects.Object, deleted bool)
-	// settle is called after each list and each set of changes, with the
-	// revision up to which all is known.
-	settle(revision int64)
-	// heard is called whenever the store has answered: all that was taken over is
-	// complete as of a revision, and was at a moment.
-	heard(revision int64, at clock.Time)
+	// publish is called after each list and each set of changes, with the revision up to which the
+	// objects are complete.
+	publish(revision int64)
+	// confirm is called after each reply of the store: the applied objects are complete as of the
+	// revision, and were current at the given time.
+	confirm(revision int64, at clock.Time)
 }
 
-// watch keeps one kind of objects in step with the store.
+// watch keeps the objects of one kind in sync with the store.
 type watch struct {
 	kind string
-	// short is how long one call waits for news.
+	// short is the wait of one call of a designated watcher.
 	short time.Duration
-	// others reports whether others look out, so that calls may wait for watchWait.
-	others func() bool
-	// idle reports whether peers tell enough, so that nothing is watched once
-	// the kind was listed; nil never does.
-	idle func() bool
-	// resumeFrom returns the revision from which the watch goes on after a rest; nil, or
-	// a result of 0, lists the kind anew.
+	// covered reports whether designated watchers cover the kind, so that calls may wait for
+	// watchWait.
+	covered func() bool
+	// maySuspend reports whether peers provide enough updates for the watch to be suspended once
+	// the kind was listed; nil never suspends.
+	maySuspend func() bool
+	// resumeFrom returns the revision from which the watch resumes after it was suspended. If it is
+	// nil or returns 0, the kind is listed again.
 	resumeFrom func() int64
 	outage     *outage
 	clk        clock.Clock
@@ -81,20 +82,20 @@
 	follower   follower
 	revision   int64
 	failures   int
-	// listed is set once the kind was listed.
+	// listed is set after the first list.
 	listed bool
-	// retries is how often a first list that is empty is read again.
+	// retries is how often an empty first list is read again.
 	retries int
-	// thick counts the calls in a row that brought news at once.
-	thick int
+	// burst counts the calls in a row that returned changes at once.
+	burst int
 }
 
-// run follows the kind until ctx ends.
+// run watches the kind until ctx ends.
 func (w *watch) run(ctx context.Context) {
 	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	for ctx.Err() == nil {
-		if w.revision != 0 && w.idle != nil && w.idle() {
-			w.rest(ctx)
+		if w.revision != 0 && w.maySuspend != nil && w.maySuspend() {
+			w.suspend(ctx)
 			continue
 		}
 		if !w.outage.admit(ctx) {
@@ -104,40 +105,40 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, errUnheard) {
+		if errors.Is(err, errNotCovered) {
 			w.log.Info("watch-shortened", zap.String("kind", w.kind), zap.Int64("revision", w.revision))
 			continue
 		}
-		w.outage.note(err)
-		w.note(err)
+		w.outage.record(err)
+		w.logResult(err)
 		if err == nil {
-			w.gather(ctx)
+			w.batch(ctx)
 			continue
 		}
 		wait.For(ctx, watchBackoff.Delay(w.failures, rnd))
 	}
 }
 
-// gather lets news that come thick come together.
+// batch delays the next call during a burst so that its changes are batched.
 //
-// Failure guarded against: sixty targets start one after the other, and each of them
-// is a call of each VM that watches, for nothing but its own entry.
-func (w *watch) gather(ctx context.Context) {
-	if w.thick >= thickFrom {
-		wait.For(ctx, min(minGather<<(w.thick-thickFrom), maxGather))
+// Failure guarded against: sixty targets start one after the other, and each of them costs one call
+// of each VM that watches, only to receive its entry.
+func (w *watch) batch(ctx context.Context) {
+	if w.burst >= burstFrom {
+		wait.For(ctx, min(minBatchDelay<<(w.burst-burstFrom), maxBatchDelay))
 	}
 }
 
-// idleEvery is how often a watch that rests looks if it is needed.
-const idleEvery = 500 * time.Millisecond
+// coverCheckInterval is how often a VM checks whether designated watchers still cover a kind.
+const coverCheckInterval = 500 * time.Millisecond
 
-// rest waits until peers tell too little. Unless the watch can go on from where peers
-// have come, the kind is then listed anew: what they told meanwhile is not in the
-// follower's own books.
-func (w *watch) rest(ctx context.Context) {
+// suspend waits until peers provide too few updates. Unless the watch can resume from the revision
+// that peers have reached, the kind is then listed again, because the follower has not received the
+// updates from peers.
+func (w *watch) suspend(ctx context.Context) {
 	w.log.Info("watch-rests", zap.String("kind", w.kind), zap.Int64("revision", w.revision))
-	for w.idle() {
-		if !wait.For(ctx, idleEvery) {
+	for w.maySuspend() {
+		if !wait.For(ctx, coverCheckInterval) {
 			return
 		}
 	}
@@ -148,8 +149,8 @@
 	w.log.Info("watch-resumed", zap.String("kind", w.kind), zap.Int64("revision", w.revision))
 }
 
-// note logs the loss of the store and its return, once each.
-func (w *watch) note(err error) {
+// logResult logs the loss of the store and its recovery, once each.
+func (w *watch) logResult(err error) {
 	if err == nil {
 		if w.failures > 0 {
 			w.log.Info("store-regained", zap.String("kind", w.kind), zap.Int("failures", w.failures), zap.Int64("revision", w.revision))
@@ -163,13 +164,13 @@
 	w.failures++
 }
 
-// step makes one call: a list if nothing is known, and else a watch.
+// step makes one call: a list if no revision is known, and otherwise a watch.
 func (w *watch) step(ctx context.Context) error {
 	if w.revision == 0 {
 		return w.list(ctx)
 	}
 	sent := time.Now()
-	p, err := w.await(ctx)
+	p, err := w.call(ctx)
 	if errors.Is(err, objects.ErrHistoryGone) {
 		w.log.Info("history-gone", zap.String("kind", w.kind), zap.Int64("revision", w.revision))
 		w.revision = 0
@@ -182,84 +183,84 @@
 		w.follower.apply(&p.Events[i].Object, p.Events[i].Deleted)
 	}
 	w.revision = max(w.revision, p.Revision)
-	w.thick++
-	if len(p.Events) == 0 || time.Since(sent) > thickWithin {
-		w.thick = 0
+	w.burst++
+	if len(p.Events) == 0 || time.Since(sent) > burstWithin {
+		w.burst = 0
 	}
-	w.thick = min(w.thick, maxThick)
+	w.burst = min(w.burst, maxBurst)
 	if len(p.Events) > 0 {
-		w.follower.settle(w.revision)
+		w.follower.publish(w.revision)
 	}
-	w.heard(p.Answered)
+	w.confirm(p.Answered)
 	return nil
 }
 
-// errUnheard says that a long call was ended because others look out no more.
-var errUnheard = errors.New("others do not look out any more")
+// errNotCovered reports that a long call was ended because designated watchers no longer cover the
+// list.
+var errNotCovered = errors.New("long watch call ended: designated watchers no longer cover the list")
 
-// await waits for news: shortly where this VM looks out, and long otherwise.
-func (w *watch) await(ctx context.Context) (*objects.Page, error) {
-	if w.others() {
-		return w.awaitLong(ctx)
+// call waits for changes, with a long wait if designated watchers cover the kind and a short one
+// otherwise.
+func (w *watch) call(ctx context.Context) (*objects.Page, error) {
+	if w.covered() {
+		return w.callLong(ctx)
 	}
-	wait := time.Duration(float64(w.short) * (1 - shortSpread*rand.Float64()))
+	wait := time.Duration(float64(w.short) * (1 - shortWaitJitter*rand.Float64()))
 	return w.store.Watch(ctx, w.kind, w.revision, wait)
 }
 
-// shortSpread is the part of a short wait by which calls differ, so that those of the
-// VMs that look out do not end together: the youngest evidence counts.
-const shortSpread = 0.25
+// shortWaitJitter is the fraction of a short wait by which calls vary, so that the calls of the
+// designated watchers do not end together: the most recent evidence counts.
+const shortWaitJitter = 0.25
 
-// awaitLong waits for news while others look out. It ends when they do not any more, as
-// the call may have gone silent.
-func (w *watch) awaitLong(ctx context.Context) (*objects.Page, error) {
+// callLong waits for changes while designated watchers cover the kind. It ends when they no longer
+// do, because the call may be hanging.
+func (w *watch) callLong(ctx context.Context) (*objects.Page, error) {
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
-	go w.cutShort(ctx, end)
+	go w.endIfNotCovered(ctx, end)
 	p, err := w.store.Watch(ctx, w.kind, w.revision, watchWait)
-	if err != nil && errors.Is(context.Cause(ctx), errUnheard) {
-		return nil, errUnheard
+	if err != nil && errors.Is(context.Cause(ctx), errNotCovered) {
+		return nil, errNotCovered
 	}
 	return p, err
 }
 
-// cutShort ends a long call once others do not look out any more.
-func (w *watch) cutShort(ctx context.Context, end context.CancelCauseFunc) {
-	tick := time.NewTicker(idleEvery)
+// endIfNotCovered ends a long call once designated watchers no longer cover the kind.
+func (w *watch) endIfNotCovered(ctx context.Context, end context.CancelCauseFunc) {
+	tick := time.NewTicker(coverCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			if !w.others() {
-				end(errUnheard)
+			if !w.covered() {
+				end(errNotCovered)
 				return
 			}
 		}
 	}
 }
 
-// heard tells the follower as of when it is up to date.
-func (w *watch) heard(answered time.Time) {
-	w.follower.heard(w.revision, w.clk.Now().Add(-time.Since(answered)))
+// confirm passes to the follower the time as of which its objects are current.
+func (w *watch) confirm(answered time.Time) {
+	w.follower.confirm(w.revision, w.clk.Now().Add(-time.Since(answered)))
 }
 
-// maxThick bounds the count of calls that brought news at once: more double the
-// pause beyond its bound.
-const maxThick = 8
+// maxBurst bounds burst: higher counts would only double the pause beyond its bound.
+const maxBurst = 8
 
-// listFirst reads what the store had some moments ago, which costs it little, and
-// nothing if many VMs do so at once. What has changed since is told by a watch from the
-// latest revision that was read, or by peers, whose lists are of a later one. It
-// reports whether there was anything; the store's word is not as of now, so that the
-// follower has not heard of it.
+// listStale reads a slightly outdated list. Such a read costs the store little, and nothing extra
+// if many VMs make it at once. Later changes are received from a watch that starts at the latest
+// revision in the list, or from peers, whose lists are more recent. It reports whether the list had
+// any objects. The reply is not current, so the follower is not confirmed.
 //
-// Failure guarded against: a fleet that starts as a whole reads every list once for
-// each VM, beyond the store's rates.
-func (w *watch) listFirst(ctx context.Context) (bool, error) {
+// Failure guarded against: when a whole fleet starts, each VM reads every list once, which exceeds
+// the store's rates.
+func (w *watch) listStale(ctx context.Context) (bool, error) {
 	items, _, err := w.readAll(ctx, true)
-	for n := 0; n < w.retries && err == nil && len(items) == 0 && wait.For(ctx, emptyPause); n++ {
+	for n := 0; n < w.retries && err == nil && len(items) == 0 && wait.For(ctx, emptyListDelay); n++ {
 		items, _, err = w.readAll(ctx, true)
 	}
 	if err != nil || len(items) == 0 {
@@ -269,15 +270,15 @@
 	for _, o := range items {
 		latest = max(latest, o.Meta.Revision)
 	}
-	w.take(items, latest)
+	w.replace(items, latest)
 	return true, nil
 }
 
-// list reads all objects. The watch goes on from the revision of the first
-// page: what changes while further pages are read is then told again.
+// list reads all objects. The watch continues from the revision of the first page, so that changes
+// made while further pages are read are received again.
 func (w *watch) list(ctx context.Context) error {
 	if !w.listed {
-		if ok, err := w.listFirst(ctx); ok || err != nil {
+		if ok, err := w.listStale(ctx); ok || err != nil {
 			return err
 		}
 	}
@@ -285,19 +286,19 @@
 	if err != nil {
 		return err
 	}
-	w.take(items, first.Revision)
-	w.heard(first.Answered)
+	w.replace(items, first.Revision)
+	w.confirm(first.Answered)
 	return nil
 }
 
-func (w *watch) take(items map[string]*objects.Object, revision int64) {
+func (w *watch) replace(items map[string]*objects.Object, revision int64) {
 	w.listed = true
 	w.follower.replace(items)
 	w.revision = revision
-	w.follower.settle(revision)
+	w.follower.publish(revision)
 }
 
-// readAll reads all objects by their names, and returns the first page as well.
+// readAll reads all objects, keyed by name, and also returns the first page.
 func (w *watch) readAll(ctx context.Context, stale bool) (items map[string]*objects.Object, first *objects.Page, err error) {
 	items = make(map[string]*objects.Object)
 	list := func(after string) (*objects.Page, error) { return w.store.List(ctx, w.kind, after, stale) }
--- a/edge/lookout_test.go
+++ b/edge/watchers_test.go
@@ -10,11 +10,11 @@
 	"endivemoor.example/endivemoor/catalog"
 )
 
-// The operator publishes a dozen versions in quick succession before thirty VMs.
-// Each VM must know the last one in time, and the store must not be called by
-// each VM for each version: its rates do not grow with the fleet.
+// Guards against: calls to the store from each VM for each version, although its rates do not grow
+// with the fleet. The operator publishes a dozen versions in quick succession to thirty VMs, and
+// each VM must apply the last one in time.
 func TestManyVersionsBeforeManyVMs(t *testing.T) {
-	play(t, 30, func(f *fleet) {
+	runFleet(t, 30, func(f *fleet) {
 		time.Sleep(3 * time.Second)
 		before := f.world.Store.Calls()
 		var last string
@@ -32,10 +32,10 @@
 	})
 }
 
-// Half of the VMs, the lookouts among them or not, are turned away by the store.
-// A version that comes meanwhile is in force on all of them in time.
+// Guards against: VMs that miss a version because the store refuses half of them, whether these
+// include designated watchers or not.
 func TestVersionWhileHalfOfTheVMsAreTurnedAway(t *testing.T) {
-	play(t, 30, func(f *fleet) {
+	runFleet(t, 30, func(f *fleet) {
 		time.Sleep(3 * time.Second)
 		for i := range 15 {
 			f.world.CutFromStore(fmt.Sprintf("vm%d", i), true)
@@ -50,11 +50,12 @@
 	})
 }
 
-// The store is down for half a minute. Thirty VMs must not all go on calling
-// it every second: it has to come back under that load. A version that
-// is published then is in force everywhere in time, as the first call that succeeds lets all others go on.
+// Guards against: a failing store that thirty VMs keep calling every second, because it must
+// recover under that load. The store is down for half a minute. A version that is published
+// afterwards is in force everywhere in time, because the first successful call of a VM admits all
+// its other callers.
 func TestStoreThatIsDownIsCalledLittle(t *testing.T) {
-	play(t, 30, func(f *fleet) {
+	runFleet(t, 30, func(f *fleet) {
 		time.Sleep(3 * time.Second)
 		f.world.Store.SetDown(true)
 		before := f.world.Store.Calls()
