--- a/recency/recency.go
+++ b/recency/recency.go
@@ -1,13 +1,12 @@
-// Package recency keeps the evidence that this VM's copies of the store's lists are
-// up to date: for each list, as of which moment a copy is known to have been the
-// store's.
+// Package recency tracks how up to date this VM's copies of the store's lists are: for each list,
+// the time at which a copy is known to have been equal to the store's.
 //
-// Evidence speaks of one list and of one version of it. A word about the fleet's list
-// says nothing of the configuration, and a word about a version that this VM does not
-// have says nothing of the one that it has. A VM that leaves it to others to watch the
-// store goes by it.
+// Evidence refers to one version of one list. Evidence for the fleet's list proves nothing about
+// the configuration, and evidence for a version that this VM does not have proves nothing about its
+// own copy. A VM suspends its watch of the store based on this evidence.
 //
-// The package is pure, but for the lock that lets many goroutines use a Board.
+// Begin with Tracker. The package does no I/O and reads no clock; a lock makes a Tracker safe for
+// concurrent use.
 package recency
 
 import (
@@ -17,10 +16,10 @@
 	"endivemoor.example/endivemoor/clock"
 )
 
-// List is one of the lists that a VM holds copies of.
+// List identifies one of the lists that a VM holds copies of.
 type List uint8
 
-// The lists.
+// The listCount.
 const (
 	// Config is the operator's configuration.
 	Config List = iota
@@ -28,31 +27,31 @@
 	Targets
 	// Fleet is the list of the fleet's VMs.
 	Fleet
-	lists
+	listCount
 )
 
-// Lists are all of them.
+// Lists returns all lists.
 func Lists() []List { return []List{Config, Targets, Fleet} }
 
-// String returns the name in logs and metrics.
+// String returns the list's name in logs and metrics.
 func (l List) String() string { return [...]string{"config", "targets", "fleet"}[l] }
 
-// Unknown is the age of a copy of which there is no evidence.
+// Unknown is the age of a copy without evidence.
 const Unknown = time.Hour
 
-// Mark says that a copy was the store's at a moment.
+// Confirmation records that a copy was equal to the store's at a time.
 type Mark struct {
-	// Version is that of the copy: the configuration's own, or the store's revision
-	// of another list.
+	// Version is the version of the copy: the configuration's own, or the store's revision for
+	// another list.
 	Version int64
-	// Revision is the store's as of which the copy was complete; a watch may go on
-	// from there. It is 0 if it is not known.
+	// Revision is the store's revision as of which the copy was complete; a watch may resume from
+	// it. It is 0 if unknown.
 	Revision int64
-	// At is the moment; 0 is that there is no evidence.
+	// At is the time of the confirmation; 0 if there is no evidence.
 	At clock.Time
 }
 
-// Age is how long ago the copy was known to be the store's; Unknown if there is no
+// Age returns how long ago the copy was known to be equal to the store's; Unknown if there is no
 // evidence.
 func (m Mark) Age(now clock.Time) time.Duration {
 	if m.At == 0 {
@@ -61,49 +60,49 @@
 	return now.Sub(m.At)
 }
 
-// Board keeps the marks of one VM. It is safe for concurrent use.
+// Tracker holds the newest confirmations of one VM's copies. It is safe for concurrent use.
 type Board struct {
-	mu    sync.Mutex
-	marks [lists]marks
+	mu     sync.Mutex
+	byList [listCount]confirmations
 }
 
-// marks are the newest evidence of one list.
-type marks struct {
-	// held speaks of a version that this VM has, or had.
-	held Mark
-	// heard speaks of one that it may not have yet.
-	heard Mark
+// confirmations are the newest confirmations of one list.
+type confirmations struct {
+	// current is for a version that this VM has, or had.
+	current Mark
+	// newest is for a version that it may not have yet.
+	newest Mark
 }
 
-// Note takes over evidence, this VM's own or a peer's.
-func (b *Board) Note(l List, m Mark) {
+// Record records a confirmation made by this VM or received from a peer.
+func (t *Board) Note(l List, m Mark) {
 	if m.At == 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	k := &b.marks[l]
-	if m.Version <= k.held.Version && m.At > k.held.At {
-		k.held = m
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	k := &t.byList[l]
+	if m.Version <= k.current.Version && m.At > k.current.At {
+		k.current = m
 	}
-	if m.At > k.heard.At {
-		k.heard = m
+	if m.At > k.newest.At {
+		k.newest = m
 	}
 }
 
-// Newest returns the evidence for a copy of a version; its moment is 0 if there is
+// Newest returns the newest confirmation of a copy with the given version; its At is 0 if there is
 // none.
-func (b *Board) Newest(l List, version int64) Mark {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	k := &b.marks[l]
-	if k.heard.Version <= version && k.heard.At >= k.held.At {
-		k.held = k.heard
+func (t *Board) Newest(l List, version int64) Mark {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	k := &t.byList[l]
+	if k.newest.Version <= version && k.newest.At >= k.current.At {
+		k.current = k.newest
 	}
-	return k.held
+	return k.current
 }
 
-// Age is how long ago a copy of a version was known to be the store's.
-func (b *Board) Age(l List, version int64, now clock.Time) time.Duration {
-	return b.Newest(l, version).Age(now)
+// Age returns how long ago a copy with the given version was known to be equal to the store's.
+func (t *Board) Age(l List, version int64, now clock.Time) time.Duration {
+	return t.Newest(l, version).Age(now)
 }
--- a/recency/recency_test.go
+++ b/recency/recency_test.go
@@ -12,7 +12,8 @@
 
 const second = clock.Time(time.Second)
 
-// Guards against a VM that takes a word about one list, or about a version that it lacks, for its own copy's.
+// Guards against: a VM that applies evidence for another list, or for a version that it lacks, to
+// its own copy.
 func TestEvidenceSpeaksOfOneListAndOneVersion(t *testing.T) {
 	var b Board
 	require.Equal(t, Unknown, b.Age(Config, 14, 9*second))
@@ -20,14 +21,15 @@
 	b.Note(Fleet, Mark{Version: 100, At: 8 * second})
 	require.Equal(t, 8*time.Second, b.Age(Config, 14, 9*second))
 	b.Note(Config, Mark{Version: 16, At: 5 * second})
-	require.Equal(t, 8*time.Second, b.Age(Config, 14, 9*second), "version 16 is not here yet")
-	require.Equal(t, 4*time.Second, b.Age(Config, 16, 9*second), "now it is")
+	require.Equal(t, 8*time.Second, b.Age(Config, 14, 9*second), "this VM does not have version 16 yet")
+	require.Equal(t, 4*time.Second, b.Age(Config, 16, 9*second), "this VM now has version 16")
 	b.Note(Config, Mark{Version: 14, At: 6 * second})
-	require.Equal(t, 3*time.Second, b.Age(Config, 16, 9*second), "an older copy was the store's later on: so was this one")
+	require.Equal(t, 3*time.Second, b.Age(Config, 16, 9*second), "the store had version 14 later, so version 16 cannot be older than that evidence")
 }
 
-// Guards against evidence that grows older, or younger than any word that fits the copy.
-func TestAgeIsThatOfTheNewestFittingWord(t *testing.T) {
+// Guards against: evidence that gets older, or is newer than every confirmation that matches the
+// copy.
+func TestAgeIsThatOfTheNewestMatchingConfirmation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b Board
 		have, newest := int64(0), clock.Time(0)
