--- a/partners/partners.go
+++ b/partners/partners.go
@@ -1,18 +1,19 @@
-// Package partners decides which peers a VM pulls news from in one round.
+// Package partners selects the peers that a VM pulls updates from in one round.
 //
-// News cross the border of an availability zone a fixed number of times in each
-// round, whatever the zone's size, and spread within the zone from there: a VM asks
-// far peers the more seldom the more VMs share its zone, and near ones else. Bytes
-// between zones so grow with the number of zones, not of VMs, and news still reach
-// a fleet in a number of rounds that grows with the logarithm of its size.
+// Updates cross the border of an availability zone a fixed number of times in each round, whatever
+// the zone's size, and spread within the zone from there: the more VMs share a VM's zone, the more
+// rarely it pulls from cross-zone peers instead of same-zone ones. Cross-zone traffic so grows with
+// the number of zones, not of VMs, and updates still reach a fleet in a number of rounds that grows
+// with the logarithm of its size.
 //
-// # Alternatives
+// Begin with Peers. The package does no I/O; it does not track which peers are reachable.
 //
-// One VM a zone that asks the others was weighed: it has to be agreed on, and its
-// zone hears nothing while it is dead, slow or cut off. Drawing peers from the whole
-// fleet sends most news over a border that somebody nearby has carried already.
+// # Alternatives
 //
-// The package is pure.
+// One designated VM for each zone that pulls from the other zones was considered: the VMs would
+// have to agree on it, and its zone would receive no updates while it is dead, slow or partitioned.
+// Selecting peers from the whole fleet sends most updates over a zone border that a same-zone VM
+// has already carried them over.
 package partners
 
 import (
@@ -22,70 +23,68 @@
 )
 
 const (
-	// PerRound is how many peers a VM asks in a round.
+	// PerRound is the number of peers that a VM pulls from in a round.
 	PerRound = 2
-	// farPerRound is how many far peers the VMs of one zone ask together in a round:
-	// some may be dead, slow or know nothing new.
-	farPerRound = 4
+	// crossZonePerRound is the number of cross-zone peers that the VMs of one zone together pull
+	// from in a round: some of them may be dead, slow or without new updates.
+	crossZonePerRound = 4
 )
 
-// Peers are those that one VM may ask. It is immutable.
+// Peers are the peers that one VM may pull from. It is immutable.
 type Peers struct {
-	near, far []catalog.VM
-	// all is how many VMs the zone has, this one included.
-	all int
+	sameZone, crossZone []catalog.VM
+	// zoneSize is the number of VMs in the zone, this one included.
+	zoneSize int
 }
 
-// Of returns the peers of a VM in a zone, by the fleet's list. A VM without an
-// address cannot be asked.
+// New returns the peers of a VM in a zone, from the fleet's list. It omits VMs without an address.
 func Of(self, zone string, vms []catalog.VM) *Peers {
-	p := &Peers{all: 1}
+	p := &Peers{zoneSize: 1}
 	for _, vm := range vms {
 		switch {
 		case vm.ID == self || vm.Peer == "":
 		case vm.Zone == zone:
-			p.near = append(p.near, vm)
+			p.sameZone = append(p.sameZone, vm)
 		default:
-			p.far = append(p.far, vm)
+			p.crossZone = append(p.crossZone, vm)
 		}
 	}
-	p.all += len(p.near)
+	p.zoneSize += len(p.sameZone)
 	return p
 }
 
-// None reports whether there is nobody to ask.
-func (p *Peers) None() bool { return len(p.near)+len(p.far) == 0 }
+// Empty reports whether there are no peers.
+func (p *Peers) None() bool { return len(p.sameZone)+len(p.crossZone) == 0 }
 
-// Draw chooses the peers of one round among those that do not rest; nil is that none
-// does. If there are too few near peers, far ones take their place, and the other way
-// round.
-func (p *Peers) Draw(rests func(vm catalog.VM) bool, rnd *rand.Rand) []catalog.VM {
-	near, far := awake(p.near, rests), awake(p.far, rests)
-	fromFar := 0
+// Draw selects the peers of one round among those not in backoff; a nil inBackoff means that none
+// is. If there are too few same-zone peers, cross-zone peers replace them, and vice versa.
+func (p *Peers) Draw(inBackoff func(vm catalog.VM) bool, rnd *rand.Rand) []catalog.VM {
+	sameZone, crossZone := available(p.sameZone, inBackoff), available(p.crossZone, inBackoff)
+	crossZoneCount := 0
 	for range PerRound {
-		if rnd.Float64()*float64(PerRound*p.all) < farPerRound {
-			fromFar++
+		if rnd.Float64()*float64(PerRound*p.zoneSize) < crossZonePerRound {
+			crossZoneCount++
 		}
 	}
-	fromNear := min(PerRound-min(fromFar, len(far)), len(near))
-	fromFar = min(PerRound-fromNear, len(far))
-	return append(pick(near, fromNear, rnd), pick(far, fromFar, rnd)...)
+	sameZoneCount := min(PerRound-min(crossZoneCount, len(crossZone)), len(sameZone))
+	crossZoneCount = min(PerRound-sameZoneCount, len(crossZone))
+	return append(pick(sameZone, sameZoneCount, rnd), pick(crossZone, crossZoneCount, rnd)...)
 }
 
-func awake(vms []catalog.VM, rests func(vm catalog.VM) bool) []catalog.VM {
-	if rests == nil {
+func available(vms []catalog.VM, inBackoff func(vm catalog.VM) bool) []catalog.VM {
+	if inBackoff == nil {
 		return vms
 	}
 	var out []catalog.VM
 	for _, vm := range vms {
-		if !rests(vm) {
+		if !inBackoff(vm) {
 			out = append(out, vm)
 		}
 	}
 	return out
 }
 
-// pick draws n different VMs; there are at least as many.
+// pick selects n different VMs at random; n must not exceed their number.
 func pick(vms []catalog.VM, n int, rnd *rand.Rand) []catalog.VM {
 	taken := make(map[int]bool, n)
 	out := make([]catalog.VM, 0, PerRound)
--- a/partners/partners_test.go
+++ b/partners/partners_test.go
@@ -10,7 +10,7 @@
 	"endivemoor.example/endivemoor/catalog"
 )
 
-// fleetOf is a fleet whose VMs are spread evenly over its zones.
+// fleetOf returns a fleet whose VMs are spread evenly over its zones.
 func fleetOf(vms, zones int) []catalog.VM {
 	out := make([]catalog.VM, vms)
 	for i := range out {
@@ -19,74 +19,75 @@
 	return out
 }
 
-// spread lets all VMs ask round by round until all know what a few know, and
-// returns how many rounds it took and how many far peers were asked in each.
-func spread(vms, zones, knowing int, rnd *rand.Rand) (rounds int, farEach float64) {
+// spreadUpdate runs rounds of pulls by all VMs until an update has spread from a few VMs to all. It
+// returns the number of rounds and the cross-zone pulls per round.
+func spreadUpdate(vms, zones, initial int, rnd *rand.Rand) (rounds int, crossZonePulls float64) {
 	fleet := fleetOf(vms, zones)
 	number := make(map[string]int, vms)
-	knows := make([]bool, vms)
+	updated := make([]bool, vms)
 	peers := make([]*Peers, vms)
 	for i, vm := range fleet {
 		number[vm.ID] = i
-		knows[i] = i < knowing
+		updated[i] = i < initial
 		peers[i] = Of(vm.ID, vm.Zone, fleet)
 	}
-	far := 0
-	for left := vms - knowing; left > 0; rounds++ {
-		before := append([]bool{}, knows...)
+	crossZone := 0
+	for remaining := vms - initial; remaining > 0; rounds++ {
+		updatedBefore := append([]bool{}, updated...)
 		for i := range fleet {
 			for _, vm := range peers[i].Draw(nil, rnd) {
 				if vm.Zone != fleet[i].Zone {
-					far++
+					crossZone++
 				}
-				if before[number[vm.ID]] && !knows[i] {
-					knows[i] = true
-					left--
+				if updatedBefore[number[vm.ID]] && !updated[i] {
+					updated[i] = true
+					remaining--
 				}
 			}
 		}
 	}
-	return rounds, float64(far) / float64(rounds)
+	return rounds, float64(crossZone) / float64(rounds)
 }
 
-// Hundreds of VMs pull news from each other. Drawn from the whole fleet, most of
-// what they pull crosses a zone's border that a neighbour has carried it over just
-// before, and bytes between zones grow with the fleet. A configuration must still be
-// in force everywhere six seconds after it was accepted, of which a watch that has
-// gone silent takes four tenths: eighteen rounds of 200 ms are left.
-func TestNewsCrossBordersSeldomAndReachAll(t *testing.T) {
-	const most = 18 // rounds
+// Guards against: cross-zone traffic that grows with the fleet. If hundreds of VMs select peers
+// from the whole fleet, most of their pulls cross a zone border that a VM of the same zone has
+// already carried the update over. A configuration must still be in force everywhere six seconds
+// after it was accepted. A hanging watch takes four tenths of that, which leaves eighteen rounds of
+// 200 ms.
+func TestUpdatesCrossZonesSeldomAndReachAllVMs(t *testing.T) {
+	const maxRounds = 18
 	for _, size := range []struct{ vms, zones int }{{3, 3}, {9, 3}, {7, 4}, {30, 3}, {59, 5}, {200, 5}, {1000, 5}} {
 		t.Run(fmt.Sprintf("%d VMs in %d zones", size.vms, size.zones), func(t *testing.T) {
 			rnd := rand.New(rand.NewPCG(1, uint64(size.vms)))
-			slowest, far := 0, 0.0
-			const times = 5
-			for range times {
-				rounds, each := spread(size.vms, size.zones, min(2, size.vms), rnd)
-				slowest, far = max(slowest, rounds), far+each/times
+			slowest, crossZone := 0, 0.0
+			const runs = 5
+			for range runs {
+				rounds, pulls := spreadUpdate(size.vms, size.zones, min(2, size.vms), rnd)
+				slowest, crossZone = max(slowest, rounds), crossZone+pulls/runs
 			}
-			t.Logf("%d rounds, %.1f far peers asked in each", slowest, far)
-			require.LessOrEqual(t, slowest, most)
-			if size.vms/size.zones > farPerRound {
-				require.LessOrEqual(t, far, 2*float64(farPerRound*size.zones), "twice what the zones are to ask")
+			t.Logf("%d rounds, %.1f cross-zone pulls in each", slowest, crossZone)
+			require.LessOrEqual(t, slowest, maxRounds)
+			if size.vms/size.zones > crossZonePerRound {
+				require.LessOrEqual(t, crossZone, 2*float64(crossZonePerRound*size.zones), "twice the number of cross-zone pulls that the zones are meant to make")
 			}
 		})
 	}
 }
 
-// A zone has lost all of its VMs but one, or some do not answer.
-func TestWhoeverCanBeAskedIsAsked(t *testing.T) {
+// Guards against: a VM that pulls from fewer peers than it could. Its zone has lost all other VMs,
+// or some peers do not answer.
+func TestDrawReplacesUnavailablePeers(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	fleet := fleetOf(6, 2)
 	require.Len(t, Of("new", "elsewhere", fleet).Draw(nil, rnd), PerRound)
 	require.Len(t, Of("vm0", "zone0", fleet[:2]).Draw(nil, rnd), 1)
 	require.Empty(t, Of("vm0", "zone0", fleet[:1]).Draw(nil, rnd))
-	near := Of("vm0", "zone0", fleet)
+	peers := Of("vm0", "zone0", fleet)
 	for range 20 {
-		drawn := near.Draw(func(vm catalog.VM) bool { return vm.Zone != "zone0" }, rnd)
+		drawn := peers.Draw(func(vm catalog.VM) bool { return vm.Zone != "zone0" }, rnd)
 		require.Len(t, drawn, PerRound)
 		require.NotEqual(t, drawn[0].ID, drawn[1].ID)
-		drawn = near.Draw(func(vm catalog.VM) bool { return vm.Zone == "zone0" }, rnd)
+		drawn = peers.Draw(func(vm catalog.VM) bool { return vm.Zone == "zone0" }, rnd)
 		require.Len(t, drawn, PerRound)
 	}
 }
