--- a/proxy/endings.go
+++ b/proxy/abort.go
@@ -8,10 +8,10 @@
 	"endivemoor.example/endivemoor/request"
 )
 
-// overstays ends a transaction at a target that drains, once the profile's
-// grace is over. It is looked at between statements; a caller that sends none
-// is ended by the idle limit.
-func (u *unit) overstays() *filter.Failure {
+// checkDrainGrace ends the transaction if its target has been draining for longer than the
+// profile's grace. It runs between statements; the idle limit ends a transaction whose caller sends
+// none.
+func (u *unit) checkDrainGrace() *filter.Failure {
 	if !u.s.srv.cfg.View.Load().Draining[u.r.Server.ID] {
 		u.drainSeen = 0
 		return nil
@@ -23,14 +23,14 @@
 	if now.Sub(u.drainSeen) < u.r.Session.Profile.DrainGrace {
 		return nil
 	}
-	return u.breakOff(outcome.Refuse(outcome.CodeAdminShutdown, comeBack,
+	return u.abort(outcome.Refuse(outcome.CodeAdminShutdown, retryAfter,
 		"server %s is leaving: the open transaction was rolled back", u.r.Server.ID))
 }
 
-// withdrawn ends the transaction because nothing more comes from the caller.
-// Whatever it did is rolled back with the connection, so it did not run.
-func (u *unit) withdrawn(err error) *filter.Failure {
-	f := &filter.Failure{Cause: request.FailureCanceled, Fatal: true, Gone: errors.Is(err, errCallerGone)}
+// callerReadFailed ends the transaction because no further statement can be read from the caller.
+// Its changes are rolled back with the connection, so the request did not run.
+func (u *unit) callerReadFailed(err error) *filter.Failure {
+	f := &filter.Failure{Cause: request.FailureCanceled, Fatal: true, Gone: errors.Is(err, errCallerDisconnected)}
 	var oerr *outcome.Error
 	if !errors.As(err, &oerr) {
 		oerr = refuse(outcome.CodeAdminShutdown, "the caller left")
@@ -40,17 +40,17 @@
 	return f
 }
 
-// breakOff refuses within an open transaction. The only way that leaves no
-// doubt is to end the connection: the target rolls back.
-func (u *unit) breakOff(oerr *outcome.Error) *filter.Failure {
+// abort refuses to continue an open transaction. It ends the connection, since only that makes it
+// certain that the target rolls back.
+func (u *unit) abort(oerr *outcome.Error) *filter.Failure {
 	u.lease.Abandon(abandonTimeout)
 	u.r.Machine.Refused()
 	return &filter.Failure{Cause: request.FailureShed, Err: oerr, Fatal: true}
 }
 
-// chained refuses a COMMIT that opened another transaction in the same message:
-// its answer could not be kept back for the gate.
-func (u *unit) chained() *filter.Failure {
+// refuseChained refuses a COMMIT that opened another transaction in the same message, since its
+// answer could not be withheld for the gate.
+func (u *unit) refuseChained() *filter.Failure {
 	u.lease.Abandon(abandonTimeout)
 	return &filter.Failure{
 		Cause: request.FailureShed,
--- a/proxy/answer.go
+++ b/proxy/answer.go
@@ -7,27 +7,27 @@
 	"github.com/pkg/errors"
 )
 
-// errAnswerTooLarge says that the part of an answer that has to wait for the
-// gate outgrew its bound.
+// errAnswerTooLarge reports that the part of an answer that must wait for the gate exceeds
+// Limits.MaxHeld.
 var errAnswerTooLarge = errors.New("answer is too large to be held until its commit is confirmed")
 
-// answer keeps what goes to the caller, as encoded messages.
+// answer buffers encoded messages for the caller.
 type answer struct {
 	buf []byte
-	// held is the offset of the first CommandComplete, or -1. What follows it
-	// waits for the gate.
+	// held is the offset of the first CommandComplete, or -1. The bytes from there on wait for the
+	// gate.
 	held int
-	// streamed says that a part went to the caller.
+	// streamed reports whether a part was sent to the caller.
 	streamed bool
-	// until bounds the time in which the caller takes a streamed part.
-	until time.Time
+	// deadline bounds the writes of streamed parts.
+	deadline time.Time
 }
 
 func (a *answer) reset() {
 	*a = answer{buf: a.buf[:0], held: -1}
 }
 
-// put adds a message.
+// put appends m. The held part begins at the first CommandComplete.
 func (a *answer) put(m pgproto3.BackendMessage) error {
 	if _, ok := m.(*pgproto3.CommandComplete); ok && a.held < 0 {
 		a.held = len(a.buf)
@@ -37,15 +37,16 @@
 	return errors.Wrap(err, "encode answer")
 }
 
-// free returns how many bytes may leave before the gate.
-func (a *answer) free() int {
+// sendable returns how many bytes may be sent before the gate allows the rest.
+func (a *answer) sendable() int {
 	if a.held >= 0 {
 		return a.held
 	}
 	return len(a.buf)
 }
 
-// put adds a message for the caller, and streams what exceeds the buffer.
+// put adds a message to the answer, and streams the sendable part once the answer exceeds
+// Limits.AnswerBuffer.
 func (s *caller) put(m pgproto3.BackendMessage) error {
 	a := &s.answer
 	if err := a.put(m); err != nil {
@@ -55,30 +56,29 @@
 	if len(a.buf) <= limits.AnswerBuffer {
 		return nil
 	}
-	if len(a.buf)-a.free() > limits.MaxHeld {
+	if len(a.buf)-a.sendable() > limits.MaxHeld {
 		return errAnswerTooLarge
 	}
-	if a.free() < limits.AnswerBuffer {
+	if a.sendable() < limits.AnswerBuffer {
 		return nil
 	}
 	return s.stream()
 }
 
-// stream writes what may leave.
+// stream sends the part of the answer that need not wait for the gate.
 //
-// Failure guarded against: a caller asks for a large answer and reads it slowly
-// or not at all, while its request holds a scarce connection. The request's own
-// deadline ends that; a buffered answer is written after the connection went
-// back.
+// Failure guarded against: a caller requests a large answer and reads it slowly or not at all,
+// while its request holds a scarce connection. Streamed writes end at the request's deadline; a
+// buffered answer is written after the connection is returned to the pool.
 func (s *caller) stream() error {
 	a := &s.answer
-	n := a.free()
+	n := a.sendable()
 	if n == 0 {
 		return nil
 	}
 	a.streamed = true
-	if err := s.writeUntil(a.until, a.buf[:n]); err != nil {
-		return errCallerGone
+	if err := s.writeUntil(a.deadline, a.buf[:n]); err != nil {
+		return errCallerDisconnected
 	}
 	a.buf = a.buf[:copy(a.buf, a.buf[n:])]
 	if a.held >= 0 {
@@ -99,11 +99,11 @@
 	return err
 }
 
-// keepAnswer is the size of the buffer that a session keeps between requests.
-const keepAnswer = 8 << 10
+// maxIdleAnswerBuffer is the largest buffer, in bytes, that a session retains between requests.
+const maxIdleAnswerBuffer = 8 << 10
 
-// release sends the whole answer: nothing of it is withheld any more.
-func (s *caller) release(last ...pgproto3.BackendMessage) bool {
+// sendAnswer sends the whole answer, including the part that was held for the gate.
+func (s *caller) sendAnswer(last ...pgproto3.BackendMessage) bool {
 	a := &s.answer
 	a.held = -1
 	for _, m := range last {
@@ -112,7 +112,7 @@
 		}
 	}
 	err := s.write(a.buf)
-	if cap(a.buf) > keepAnswer {
+	if cap(a.buf) > maxIdleAnswerBuffer {
 		a.buf = nil
 	}
 	return err == nil
--- a/proxy/auth.go
+++ b/proxy/auth.go
@@ -12,7 +12,7 @@
 
 const mechanism = "SCRAM-SHA-256"
 
-// authenticate runs SCRAM for user. The conversation is the library's.
+// authenticate authenticates user by SCRAM. The scram library implements the conversation.
 func (s *caller) authenticate(user string) *outcome.Error {
 	server, err := scram.SHA256.NewServer(func(string) (scram.StoredCredentials, error) {
 		return s.srv.credentials(user), nil
@@ -44,7 +44,7 @@
 
 func (s *caller) saslFirst() (string, *outcome.Error) {
 	s.be.Send(&pgproto3.AuthenticationSASL{AuthMechanisms: []string{mechanism}})
-	msg, oerr := s.ask(pgproto3.AuthTypeSASL)
+	msg, oerr := s.receiveSASL(pgproto3.AuthTypeSASL)
 	if oerr != nil {
 		return "", oerr
 	}
@@ -57,7 +57,7 @@
 
 func (s *caller) saslProof(challenge string) (string, *outcome.Error) {
 	s.be.Send(&pgproto3.AuthenticationSASLContinue{Data: []byte(challenge)})
-	msg, oerr := s.ask(pgproto3.AuthTypeSASLContinue)
+	msg, oerr := s.receiveSASL(pgproto3.AuthTypeSASLContinue)
 	if oerr != nil {
 		return "", oerr
 	}
@@ -68,8 +68,8 @@
 	return string(m.Data), nil
 }
 
-// ask sends what is buffered and reads the answer to an authentication message.
-func (s *caller) ask(authType uint32) (pgproto3.FrontendMessage, *outcome.Error) {
+// receiveSASL sends the buffered messages and reads the response to an authentication request.
+func (s *caller) receiveSASL(authType uint32) (pgproto3.FrontendMessage, *outcome.Error) {
 	if err := s.be.Flush(); err != nil {
 		return nil, refuse(outcome.CodeProtocolViolation, "cannot write to the caller")
 	}
@@ -87,11 +87,11 @@
 	return refuse(outcome.CodeInvalidPassword, "password authentication failed for user \""+user+"\"")
 }
 
-// credentials returns the user's, or made-up ones that no password fits.
+// credentials returns the user's stored credentials, or made-up ones that match no password.
 //
-// Failure guarded against: a stranger tries names and tells from the answer
-// which exist. The made-up salt depends on the name and a secret of this
-// process, so it looks like a real one and stays the same.
+// Failure guarded against: an attacker tries user names and learns from the replies which of them
+// exist. The made-up salt is derived from the name and a secret of this process, so it looks like a
+// real one and is the same on each attempt.
 func (s *Server) credentials(user string) scram.StoredCredentials {
 	if c, ok := s.cfg.Users.Lookup(user); ok {
 		return c
--- a/proxy/bench_test.go
+++ b/proxy/bench_test.go
@@ -23,8 +23,8 @@
 	benchWrite = "/*endivemoor kind=note*/ UPDATE passes SET seat = 1 WHERE id = 'p'"
 )
 
-// BenchmarkThroughProxy compares the proxy with the direct way in one run, so
-// that a busy machine slows both: p50 in microseconds and their ratio.
+// BenchmarkThroughProxy compares the proxy with a direct connection in the same run, so that load
+// on the machine slows both. It reports the p50 of each in microseconds, and their ratio.
 func BenchmarkThroughProxy(b *testing.B) {
 	for _, bench := range []struct {
 		name, sql string
@@ -50,15 +50,14 @@
 	run(b, direct, sql, callers, 20)
 	run(b, r.dsn(""), sql, callers, 20)
 	b.ResetTimer()
-	straight := run(b, direct, sql, callers, b.N)
-	proxied := run(b, r.dsn(""), sql, callers, b.N)
-	b.ReportMetric(straight, "direct-p50-us")
-	b.ReportMetric(proxied, "proxy-p50-us")
-	b.ReportMetric(proxied/straight, "ratio")
+	directP50 := run(b, direct, sql, callers, b.N)
+	proxyP50 := run(b, r.dsn(""), sql, callers, b.N)
+	b.ReportMetric(directP50, "direct-p50-us")
+	b.ReportMetric(proxyP50, "proxy-p50-us")
+	b.ReportMetric(proxyP50/directP50, "ratio")
 }
 
-// run sends n statements from each of callers and returns the p50 in
-// microseconds.
+// run sends n statements over each of several connections and returns the p50 in microseconds.
 func run(b *testing.B, dsn, sql string, callers, n int) float64 {
 	var mu sync.Mutex
 	h := hdrhistogram.New(1, int64(time.Minute), 3)
@@ -89,8 +88,8 @@
 	return float64(h.ValueAtQuantile(50)) / float64(time.Microsecond)
 }
 
-// BenchmarkIdleSession reports the memory that one idle caller holds, from the
-// slope between two numbers of callers.
+// BenchmarkIdleSession reports the memory of an idle caller, as the slope between two numbers of
+// callers.
 func BenchmarkIdleSession(b *testing.B) {
 	const few, many = 100, 600
 	r := startProxy(b, startCluster(b, dbd.Options{}))
@@ -101,8 +100,8 @@
 	}
 }
 
-// heapWith returns the memory in use, stacks included, while n callers that
-// have run a statement are idle.
+// heapWith returns the memory in use, including stacks, while n callers that have run a statement
+// are idle.
 func (r *rig) heapWith(b *testing.B, n int) int64 {
 	var conns []net.Conn
 	defer func() {
--- a/proxy/certs.go
+++ b/proxy/certs.go
@@ -7,20 +7,19 @@
 	"github.com/pkg/errors"
 )
 
-// Certificate serves a key pair from files that may be replaced while the
-// process runs.
+// Certificate serves a key pair from files that may be replaced while the process runs.
 type Certificate struct {
 	certFile, keyFile string
 	current           atomic.Pointer[tls.Certificate]
 }
 
-// LoadCertificate reads the pair once, so that a bad one is found at start.
+// LoadCertificate reads the pair once, so that an invalid pair is reported at startup.
 func LoadCertificate(certFile, keyFile string) (*Certificate, error) {
 	c := &Certificate{certFile: certFile, keyFile: keyFile}
 	return c, c.Reload()
 }
 
-// Reload reads the files again. On error the present pair stays in use.
+// Reload reads the files again. On error the current pair stays in use.
 func (c *Certificate) Reload() error {
 	pair, err := tls.LoadX509KeyPair(c.certFile, c.keyFile)
 	if err != nil {
@@ -30,7 +29,7 @@
 	return nil
 }
 
-// Config returns a server's TLS setting that follows reloads.
+// Config returns a TLS configuration for servers that always presents the pair loaded last.
 func (c *Certificate) Config() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
--- a/proxy/chunk.go
+++ b/proxy/chunk.go
@@ -11,28 +11,28 @@
 	"endivemoor.example/endivemoor/outcome"
 )
 
-// ending says what closed a chunk.
-type ending uint8
+// chunkEnd is the kind of message that ended a chunk.
+type chunkEnd uint8
 
 const (
-	endSync ending = iota
+	endSync chunkEnd = iota
 	endQuery
 	endFlush
 )
 
-// chunk is what a caller sent up to a Sync, Query or Flush. Its messages are
-// copies: the library's are valid only until the next one is read.
+// chunk holds the messages that a caller sent up to a Sync, Query or Flush. They are copies, since
+// pgproto3 reuses its messages on the next read.
 type chunk struct {
 	msgs []pgproto3.FrontendMessage
-	end  ending
+	end  chunkEnd
 	size int
-	// statements are kept once they were read.
+	// statements is a cache; it is valid if read is set.
 	statements []statement
 	read       bool
 }
 
-// perMessage is counted for each message besides its content, in bytes.
-const perMessage = 64
+// messageOverhead is counted for each message in addition to its content, in bytes.
+const messageOverhead = 64
 
 // add appends a copy of m.
 func (c *chunk) add(m pgproto3.FrontendMessage) {
@@ -60,7 +60,7 @@
 		cp := *m
 		c.msgs = append(c.msgs, &cp)
 	}
-	c.size += perMessage
+	c.size += messageOverhead
 }
 
 func cloneAll(params [][]byte) [][]byte {
@@ -82,7 +82,7 @@
 	return false
 }
 
-// onlyCloses reports whether the chunk does nothing but forget statements.
+// onlyCloses reports whether the chunk only closes prepared statements.
 func (c *chunk) onlyCloses() bool {
 	for _, m := range c.msgs {
 		if cl, ok := m.(*pgproto3.Close); !ok || cl.ObjectType != 'S' {
@@ -92,9 +92,9 @@
 	return c.end == endSync
 }
 
-// readChunk reads the next chunk. Its error is errCallerGone or an
-// *outcome.Error that ends the session.
-func (s *caller) readChunk(w waitFor) (*chunk, error) {
+// readChunk reads the next chunk. Its error is errCallerDisconnected or an *outcome.Error that ends
+// the session.
+func (s *caller) readChunk(w waitState) (*chunk, error) {
 	c := &chunk{}
 	for {
 		m, err := s.receive(w, len(c.msgs) == 0)
@@ -113,9 +113,9 @@
 			c.end = endQuery
 			return c, nil
 		case *pgproto3.Terminate:
-			return nil, errCallerGone
+			return nil, errCallerDisconnected
 		case *pgproto3.CopyData, *pgproto3.CopyDone, *pgproto3.CopyFail:
-			// Ignored outside COPY, as the protocol says.
+			// The protocol requires that these messages be ignored outside COPY.
 		case *pgproto3.FunctionCall:
 			return nil, refuse(codeNotSupported, "function calls are not supported")
 		default:
@@ -143,7 +143,7 @@
 	return tags, nil
 }
 
-// onlyTag returns the tag if the chunk is a simple query with nothing else.
+// onlyTag returns the tag if the chunk is a simple query that consists of the tag alone.
 func (c *chunk) onlyTag() (filter.Tag, bool) {
 	if len(c.msgs) != 1 || c.end != endQuery {
 		return filter.Tag{}, false
--- a/proxy/commit.go
+++ b/proxy/commit.go
@@ -10,7 +10,7 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// Command tags that the proxy looks at.
+// Command tags that the proxy evaluates.
 const (
 	tagCommit   = "COMMIT"
 	tagRollback = "ROLLBACK"
@@ -18,16 +18,16 @@
 	tagSet      = "SET"
 )
 
-// harmless are the first words of command tags that change no data.
-var harmless = map[string]bool{
+// nonModifying holds the first words of the command tags that report no change of data.
+var nonModifying = map[string]bool{
 	tagRollback: true, "BEGIN": true, "START": true, tagSet: true, "SHOW": true, "RESET": true,
 	"DISCARD": true, "DEALLOCATE": true, "PREPARE": true, "LISTEN": true, "UNLISTEN": true,
 	"SAVEPOINT": true, "RELEASE": true, "FETCH": true, "CLOSE": true, "EXPLAIN": true,
 }
 
-// learn goes by the command tags of a chunk. An error undoes what ran in the
-// same implicit transaction, but not what a COMMIT before it made last.
-func (u *unit) learn(x *exchange) {
+// applyCommandTags updates ran and committed from the command tags of a chunk. An error undoes the
+// work of the same implicit transaction, but not what an earlier COMMIT made durable.
+func (u *unit) applyCommandTags(x *exchange) {
 	for _, t := range x.tags {
 		word, _, _ := strings.Cut(t, " ")
 		switch {
@@ -35,7 +35,7 @@
 			u.committed = true
 		case word == tagRollback:
 			u.ran = false
-		case !harmless[word] && !(word == tagSelect && u.r.IsRead()):
+		case !nonModifying[word] && !(word == tagSelect && u.r.IsRead()):
 			u.ran = true
 		}
 		if word == tagSet && !u.open && x.status == txIdle {
@@ -47,29 +47,29 @@
 	}
 }
 
-// conclude finds the position of what the transaction committed.
+// findPosition determines the log position of the transaction's commit.
 //
-// A change by what was sent as a read to a replica shows that it is none any
-// more; without an account of it the outcome is unknown.
+// If a statement that was sent to a replica as a read reports a change, the server is no longer a
+// replica; without a status report from it the outcome is unknown.
 //
-// A SELECT of a kind that was not declared a read counts as a write: it may
-// call a function that writes. A declared read that was answered by the
-// primary counts only if a command tag shows a change.
-func (u *unit) conclude() *filter.Failure {
+// A SELECT of a kind that is not declared as a read counts as a write, since it may call a function
+// that writes. A declared read that the primary answered counts as a write only if a command tag
+// reports a change.
+func (u *unit) findPosition() *filter.Failure {
 	if !u.maybeCommitted() {
 		return nil
 	}
 	if !u.status.answered() && !u.reset {
-		if fail := u.askStatus(); fail != nil {
+		if fail := u.queryStatus(); fail != nil {
 			return fail
 		}
 	}
-	return u.position()
+	return u.recordPosition()
 }
 
-// maybeCommitted reports whether there is anything to acknowledge. In an
-// explicit transaction only a COMMIT makes its work last; a target may call a
-// COMMIT of a failed transaction ROLLBACK.
+// maybeCommitted reports whether there may be a commit to acknowledge. In an explicit transaction
+// only a COMMIT makes changes durable; a target may answer the COMMIT of a failed transaction with
+// the tag ROLLBACK.
 func (u *unit) maybeCommitted() bool {
 	if u.open {
 		return u.committed
@@ -77,24 +77,23 @@
 	return u.committed || u.ran
 }
 
-func (u *unit) askStatus() *filter.Failure {
+func (u *unit) queryStatus() *filter.Failure {
 	x := newExchange(u.lease, u.s.put)
 	x.add(u.status.step())
 	if err := u.exchange(x, request.StepExecuted); err != nil {
-		return u.lost(err)
+		return u.exchangeFailed(err)
 	}
 	return nil
 }
 
-// position takes the server's account after the commit.
+// recordPosition takes the position of the commit from the server's status report.
 //
-// Failure guarded against: between commit and question the primary was
-// superseded, rewound and made to follow. Its log then ends elsewhere, and the
-// position says nothing of the commit. Only an account of the same term by a
-// primary counts; otherwise the outcome is unknown. The same holds for what was
-// sent to a replica that has become a primary meanwhile; one that is still a
-// replica committed nothing.
-func (u *unit) position() *filter.Failure {
+// Failure guarded against: between the commit and the status query the primary is superseded,
+// rewound and made to follow the new primary. Its log then has a different end, and its position
+// does not cover the commit. Only a status of the same term from a primary counts; otherwise the
+// outcome is unknown. The same applies to a request sent to a replica that has since become a
+// primary; a server that is still a replica committed nothing.
+func (u *unit) recordPosition() *filter.Failure {
 	st, err := u.status.status()
 	if err == nil && !u.r.OnPrimary() && st.Role == target.RoleReplica {
 		return nil
@@ -102,7 +101,7 @@
 	if err != nil || !u.r.OnPrimary() || st.Role != target.RolePrimary || !u.sameTerm(st) {
 		return &filter.Failure{
 			Cause: request.FailureSuperseded,
-			Err:   outcome.Lost(comeBack, "server %s was superseded around the commit", u.r.Server.ID),
+			Err:   outcome.Lost(retryAfter, "server %s was superseded around the commit", u.r.Server.ID),
 		}
 	}
 	u.r.Committed = true
@@ -111,8 +110,8 @@
 }
 
 func (u *unit) sameTerm(st target.Status) bool {
-	return st.Term == u.r.Term || u.out(GuardTerm)
+	return st.Term == u.r.Term || u.disabled(GuardTerm)
 }
 
-// out reports whether a test took the guard out.
-func (u *unit) out(n guard.Name) bool { return u.s.srv.cfg.Guards.Out(n) }
+// disabled reports whether a test disabled the guard.
+func (u *unit) disabled(n guard.Name) bool { return u.s.srv.cfg.Guards.Out(n) }
--- a/proxy/config.go
+++ b/proxy/config.go
@@ -21,7 +21,7 @@
 // Acknowledger proves that commits and positions were not superseded.
 type Acknowledger = filter.Gate
 
-// Board takes what requests themselves show of a server.
+// Tracker records the latency and the result of exchanges with a server.
 type Board interface {
 	Begin(id target.ID, now clock.Time)
 	End(id target.ID, now clock.Time, latency time.Duration, failed bool)
@@ -39,12 +39,12 @@
 	Lookup(user string) (scram.StoredCredentials, bool)
 }
 
-// RemoteCancel forwards a cancel request for a session of another proxy. It
-// returns once the request was handed over.
+// RemoteCancel forwards a cancel request for a session of another proxy. It returns once the
+// request was passed on.
 type RemoteCancel func(ctx context.Context, pid uint32, secret []byte)
 
-// Config sets a Server. View, Router, Board, Limiter, Pool, Tokens, Users, Ack,
-// Clock and Log are required.
+// Config configures a Server. View, Router, Tracker, Limiter, Pool, Tokens, Users, Ack, Clock and
+// Log are required.
 type Config struct {
 	View    *view.Holder
 	Router  filter.Chooser
@@ -64,58 +64,59 @@
 	Recorder filter.Sink
 	// Zone is this VM's availability zone.
 	Zone string
-	// Node is this VM's part of the process ids given to callers, so that a
-	// cancel request that comes in elsewhere can be forwarded.
+	// Node identifies this VM in the process ids assigned to callers, so that another VM's proxy
+	// can forward a cancel request to it.
 	Node uint16
 	// RemoteCancel may be nil.
 	RemoteCancel RemoteCancel
-	// Retry sets the groups' retry budgets.
+	// Retry configures the groups' retry budgets.
 	Retry retry.Config
-	// Seed starts the jitter of retries.
+	// Seed seeds the jitter of retries.
 	Seed   uint64
 	Limits Limits
 	// Guards is set by tests only.
 	Guards guard.Set
 }
 
-// Guards that a test may take out.
+// Guards that a test may disable.
 const (
-	// GuardTerm refuses a position that is not of the term of the request.
+	// GuardTerm rejects the position of a commit under another term than the request's.
 	GuardTerm guard.Name = "proxy/term-of-commit"
 	// GuardKeyRow inserts the request key's row.
 	GuardKeyRow guard.Name = "proxy/key-row"
-	// GuardKeyUser keeps the keys of two users apart.
+	// GuardKeyUser scopes a request key to its user.
 	GuardKeyUser guard.Name = "proxy/key-of-user"
-	// GuardControl keeps transaction control out of keyed requests.
+	// GuardControl rejects transaction control in keyed requests.
 	GuardControl guard.Name = "proxy/no-transaction-control"
-	// GuardStray refuses answers that nothing asked for.
+	// GuardStray rejects messages of a target that answer no request.
 	GuardStray guard.Name = "proxy/stray-answers"
-	// GuardDigest refuses a key that was used for another request.
+	// GuardDigest rejects a key that was used for another request.
 	GuardDigest guard.Name = "proxy/key-digest"
 )
 
-// Limits bound what one caller may take. Zero fields get the defaults.
+// Limits bounds the number of sessions and the resources that each may use. Zero fields take the
+// defaults.
 type Limits struct {
-	// MaxSessions bounds the connections, also those not yet logged in.
+	// MaxSessions bounds the connections, including those that have not logged in.
 	MaxSessions int
 	// MaxMessage bounds one message, in bytes.
 	MaxMessage int
 	// MaxBatch bounds the messages up to Sync or Flush, in bytes.
 	MaxBatch int
-	// MaxStatements and MaxStatementBytes bound what a caller keeps prepared.
+	// MaxStatements and MaxStatementBytes bound a caller's prepared statements.
 	MaxStatements     int
 	MaxStatementBytes int
 	// Startup bounds the time from connect to login.
 	Startup time.Duration
-	// Message bounds the time from a message's first bytes to its end, and the
-	// time that a caller takes to read an answer.
+	// Message bounds the time from a message's first bytes to its end, and the time in which a
+	// caller must read an answer.
 	Message time.Duration
-	// IdleInTransaction bounds the time that an open transaction may wait for
-	// its caller while it holds a connection.
+	// IdleInTransaction bounds the time that an open transaction, which holds a connection, may
+	// wait for its caller's next statement.
 	IdleInTransaction time.Duration
-	// AnswerBuffer is the size up to which an answer is kept whole, in bytes.
+	// AnswerBuffer is the size up to which an answer is buffered whole, in bytes.
 	AnswerBuffer int
-	// MaxHeld bounds the part of an answer that must wait for the gate.
+	// MaxHeld bounds the part of an answer that must wait for the gate, in bytes.
 	MaxHeld int
 }
 
--- a/proxy/errors.go
+++ b/proxy/errors.go
@@ -11,7 +11,7 @@
 	"endivemoor.example/endivemoor/outcome"
 )
 
-// Codes that only this package answers with.
+// SQLSTATEs, severities and texts that only this package uses.
 const (
 	codeNotSupported       outcome.SQLSTATE = "0A000"
 	codeIdleInTransaction  outcome.SQLSTATE = "25P03"
@@ -25,15 +25,15 @@
 	messageProtocolTimeout                  = "message was not completed in time"
 )
 
-// errCallerGone says that the caller closed its connection.
-var errCallerGone = errors.New("caller is gone")
+// errCallerDisconnected reports that the caller closed its connection.
+var errCallerDisconnected = errors.New("caller disconnected")
 
-// refuse is a "not run" answer without advice to come back.
+// refuse returns an error with the outcome "not run" and without a retry-after.
 func refuse(code outcome.SQLSTATE, message string) *outcome.Error {
 	return &outcome.Error{Outcome: outcome.NotRun, Code: code, Message: message}
 }
 
-// readRefusal turns a failed read from the caller into the answer to it.
+// readRefusal returns the error that answers a failed read from the caller.
 func readRefusal(err error) *outcome.Error {
 	var tooLong *pgproto3.ExceededMaxBodyLenErr
 	switch {
@@ -47,8 +47,8 @@
 	}
 }
 
-// isGone reports whether a read failed because the caller left.
-func isGone(err error) bool {
+// isDisconnect reports whether a read failed because the caller disconnected.
+func isDisconnect(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, net.ErrClosed) || isReset(err)
 }
@@ -63,7 +63,7 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// response is the wire form of an error of the proxy's own.
+// response returns e as an ErrorResponse message.
 func response(severity string, e *outcome.Error) *pgproto3.ErrorResponse {
 	return &pgproto3.ErrorResponse{
 		Severity:            severity,
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -13,44 +13,43 @@
 	txFailed = 'E'
 )
 
-// show says what the caller sees of the answer to a step.
+// show selects the part of a step's answer that is forwarded to the caller.
 type show uint8
 
 const (
-	// showAll forwards everything but ReadyForQuery.
+	// showAll forwards all messages except ReadyForQuery.
 	showAll show = iota
-	// showRows forwards what a simple query would answer.
+	// showRows forwards the messages that answer a simple query.
 	showRows
-	// showNone forwards nothing but errors.
-	showNone
-	// showNever hides errors, too: the step is the proxy's own affair.
-	showNever
+	// showErrors forwards errors only.
+	showErrors
+	// showNothing hides errors, too: the step is internal to the proxy.
+	showNothing
 )
 
-// step is one message to the target with what to do with its answer.
+// step is one message to the target and the handling of its answer.
 type step struct {
 	msg  pgproto3.FrontendMessage
 	show show
-	// on sees every message of the answer, valid during the call.
-	on func(m pgproto3.BackendMessage)
+	// onMessage is called with each message of the answer, which is valid during the call only.
+	onMessage func(m pgproto3.BackendMessage)
 }
 
-// exchange sends steps to a target and goes through their answers in order.
-// The protocol answers each message by known ones, and after an error nothing
-// but the ReadyForQuery of the next Sync; so every answer is matched to its
-// step, and a stray one is an error instead of somebody's row.
+// exchange sends steps to a target and processes their answers in order. The protocol defines which
+// messages may answer each one, and after an error the target sends nothing until the ReadyForQuery
+// of the next Sync. Every message is therefore matched to its step, and a stray one is an error
+// instead of a row in another caller's result.
 type exchange struct {
 	lease *pool.Lease
 	steps []step
 	size  int
-	// reset sends the connection's reset behind the steps. Its answer is not
-	// read here.
+	// reset sends the connection's reset after the steps. Its answer is not read here.
 	reset bool
 	put   func(m pgproto3.BackendMessage) error
 
-	// at is the step whose answer is read.
-	at int
-	// failedAt is the first step that was answered by an error, or -1.
+	// current is the index of the step whose answer is being read.
+	current int
+	// failedAt is the index of the first step that was answered by an error, or -1.
 	failedAt int
 	failure  *pgproto3.ErrorResponse
 	// tags are the command tags of visible steps.
@@ -58,8 +57,8 @@
 	// status is the transaction status after the last visible Sync or Query.
 	status   byte
 	skipping bool
-	// anyAnswer takes stray answers; see GuardStray.
-	anyAnswer bool
+	// allowStray accepts stray messages; see GuardStray.
+	allowStray bool
 }
 
 var (
@@ -73,9 +72,9 @@
 
 func (x *exchange) add(s step) { x.steps = append(x.steps, s) }
 
-// writeAside is the size from which a batch is written while its answers are
-// read. Otherwise both sides could wait for the other to read.
-const writeAside = 32 << 10
+// concurrentWriteBytes is the size from which a batch is written while its answers are read. With a
+// large batch written first, each side could wait for the other to read.
+const concurrentWriteBytes = 32 << 10
 
 // run sends all steps and reads all answers.
 func (x *exchange) run() error {
@@ -89,21 +88,21 @@
 			return err
 		}
 	}
-	if x.size < writeAside {
+	if x.size < concurrentWriteBytes {
 		if err := x.lease.Flush(); err != nil {
 			return err
 		}
 		return x.readAll()
 	}
-	return x.readBeside()
+	return x.writeConcurrently()
 }
 
-func (x *exchange) readBeside() error {
+func (x *exchange) writeConcurrently() error {
 	written := make(chan error, 1)
 	go func() { written <- x.lease.Flush() }()
 	err := x.readAll()
 	if err != nil {
-		// The writer ends with the connection or at the deadline.
+		// The writing goroutine returns when the connection ends or at the deadline.
 		x.lease.Discard()
 	}
 	werr := <-written
@@ -114,29 +113,29 @@
 }
 
 func (x *exchange) readAll() error {
-	x.passSilent()
-	for x.at < len(x.steps) {
+	x.skipUnanswered()
+	for x.current < len(x.steps) {
 		m, err := x.lease.Receive()
 		if err != nil {
 			return err
 		}
-		if err := x.take(m); err != nil {
+		if err := x.handleMessage(m); err != nil {
 			return err
 		}
-		x.passSilent()
+		x.skipUnanswered()
 	}
 	return nil
 }
 
-// passSilent moves over steps that get no answer: Flush, and after an error
-// everything up to the next Sync.
-func (x *exchange) passSilent() {
-	for x.at < len(x.steps) {
-		_, isFlush := x.steps[x.at].msg.(*pgproto3.Flush)
-		if !isFlush && !(x.skipping && !endsBatch(x.steps[x.at].msg)) {
+// skipUnanswered advances past steps that get no answer: Flush, and after an error all steps before
+// the next Sync.
+func (x *exchange) skipUnanswered() {
+	for x.current < len(x.steps) {
+		_, isFlush := x.steps[x.current].msg.(*pgproto3.Flush)
+		if !isFlush && !(x.skipping && !endsBatch(x.steps[x.current].msg)) {
 			return
 		}
-		x.at++
+		x.current++
 	}
 }
 
@@ -145,21 +144,21 @@
 	return ok
 }
 
-func (x *exchange) take(m pgproto3.BackendMessage) error {
-	st := &x.steps[x.at]
+func (x *exchange) handleMessage(m pgproto3.BackendMessage) error {
+	st := &x.steps[x.current]
 	switch m := m.(type) {
 	case *pgproto3.ParameterStatus, *pgproto3.NotificationResponse:
 		return nil
 	case *pgproto3.NoticeResponse:
 		return x.forward(st, m, st.show <= showRows)
 	case *pgproto3.ErrorResponse:
-		return x.takeError(st, m)
+		return x.handleError(st, m)
 	case *pgproto3.CopyInResponse, *pgproto3.CopyOutResponse, *pgproto3.CopyBothResponse:
 		return errCopy
 	case *pgproto3.ReadyForQuery:
-		return x.takeReady(st, m)
+		return x.handleReady(st, m)
 	}
-	if !answers(st.msg, m) && !x.anyAnswer {
+	if !mayAnswer(st.msg, m) && !x.allowStray {
 		return errStray
 	}
 	if c, ok := m.(*pgproto3.CommandComplete); ok && st.show <= showRows {
@@ -169,14 +168,14 @@
 		return err
 	}
 	if completes(st.msg, m) {
-		x.at++
+		x.current++
 	}
 	return nil
 }
 
 func (x *exchange) forward(st *step, m pgproto3.BackendMessage, seen bool) error {
-	if st.on != nil {
-		st.on(m)
+	if st.onMessage != nil {
+		st.onMessage(m)
 	}
 	if !seen {
 		return nil
@@ -184,39 +183,39 @@
 	return x.put(m)
 }
 
-func (x *exchange) takeError(st *step, m *pgproto3.ErrorResponse) error {
+func (x *exchange) handleError(st *step, m *pgproto3.ErrorResponse) error {
 	if m.Severity == severityFatal || m.SeverityUnlocalized == severityFatal {
 		return errors.Errorf("target ended the connection: %s (%s)", m.Message, m.Code)
 	}
-	if x.failedAt < 0 && st.show != showNever {
+	if x.failedAt < 0 && st.show != showNothing {
 		failure := *m
-		x.failedAt, x.failure = x.at, &failure
+		x.failedAt, x.failure = x.current, &failure
 	}
 	if _, simple := st.msg.(*pgproto3.Query); !simple && !endsBatch(st.msg) {
 		x.skipping = true
 	}
-	return x.forward(st, m, st.show != showNever)
+	return x.forward(st, m, st.show != showNothing)
 }
 
-func (x *exchange) takeReady(st *step, m *pgproto3.ReadyForQuery) error {
+func (x *exchange) handleReady(st *step, m *pgproto3.ReadyForQuery) error {
 	switch st.msg.(type) {
 	case *pgproto3.Sync, *pgproto3.Query:
 	default:
 		return errStray
 	}
-	if st.show != showNever {
+	if st.show != showNothing {
 		x.status = m.TxStatus
 	}
-	if st.on != nil {
-		st.on(m)
+	if st.onMessage != nil {
+		st.onMessage(m)
 	}
 	x.skipping = false
-	x.at++
+	x.current++
 	return nil
 }
 
-// answers reports whether m may be part of the answer to sent.
-func answers(sent pgproto3.FrontendMessage, m pgproto3.BackendMessage) bool {
+// mayAnswer reports whether m may be part of the answer to sent.
+func mayAnswer(sent pgproto3.FrontendMessage, m pgproto3.BackendMessage) bool {
 	switch m.(type) {
 	case *pgproto3.ParseComplete:
 		_, ok := sent.(*pgproto3.Parse)
@@ -244,7 +243,7 @@
 func isExecute(m pgproto3.FrontendMessage) bool  { _, ok := m.(*pgproto3.Execute); return ok }
 func isDescribe(m pgproto3.FrontendMessage) bool { _, ok := m.(*pgproto3.Describe); return ok }
 
-// completes reports whether m is the last answer to sent.
+// completes reports whether m is the last message of the answer to sent.
 func completes(sent pgproto3.FrontendMessage, m pgproto3.BackendMessage) bool {
 	switch m.(type) {
 	case *pgproto3.ParseComplete, *pgproto3.BindComplete, *pgproto3.CloseComplete,
@@ -258,7 +257,7 @@
 	return false
 }
 
-// visible reports whether the caller sees m.
+// visible reports whether m is forwarded to the caller.
 func visible(s show, m pgproto3.BackendMessage) bool {
 	switch s {
 	case showAll:
--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -14,8 +14,8 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// scripted is a target that answers simple queries as a test wants.
-type scripted struct {
+// scriptedTarget is a target whose answers to simple queries are set by a test.
+type scriptedTarget struct {
 	ln     net.Listener
 	answer func(b *pgproto3.Backend, sql string)
 }
@@ -24,14 +24,14 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
-	s := &scripted{ln: ln, answer: answer}
+	s := &scriptedTarget{ln: ln, answer: answer}
 	go s.accept()
 	g := *cl.views.Load().Groups["ledger"]
 	g.Servers = []view.Server{{ID: "a", Addr: ln.Addr().String()}}
 	cl.publish(g)
 }
 
-func (s *scripted) accept() {
+func (s *scriptedTarget) accept() {
 	for {
 		c, err := s.ln.Accept()
 		if err != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-func (s *scripted) serve(c net.Conn) {
+func (s *scriptedTarget) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	b := pgproto3.NewBackend(c, c)
 	if _, err := b.ReceiveStartupMessage(); err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-func (s *scripted) reply(b *pgproto3.Backend, sql string) {
+func (s *scriptedTarget) reply(b *pgproto3.Backend, sql string) {
 	switch sql {
 	case "DISCARD ALL":
 		b.Send(&pgproto3.CommandComplete{CommandTag: []byte(sql)})
@@ -79,8 +79,8 @@
 	b.Send(&pgproto3.ReadyForQuery{TxStatus: txIdle})
 }
 
-// A target streams a COPY, which the proxy cannot hold back for its gate. The
-// caller gets a clear error, and its next request a clean connection.
+// A target starts a COPY, whose data the proxy cannot withhold for its gate. The caller receives a
+// specific error, and its next request gets a clean connection.
 func TestCopyAnswersAreRefused(t *testing.T) {
 	for name, first := range map[string]pgproto3.BackendMessage{
 		"out": &pgproto3.CopyOutResponse{ColumnFormatCodes: []uint16{0}},
@@ -103,8 +103,8 @@
 	}
 }
 
-// A target sends a message that nothing asked for. It must not be taken for a
-// part of the answer, and the connection is not used again.
+// A target sends a message that answers no request. It must not become part of the answer, and the
+// connection must not be used again.
 func TestStrayAnswersEndTheConnection(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	startScripted(t, cl, func(b *pgproto3.Backend, sql string) {
@@ -121,8 +121,8 @@
 	exec(t, c, "SELECT 1")
 }
 
-// A large answer is streamed, whole and in order, although only a part of it
-// fits into the proxy's buffer.
+// A large answer is streamed, whole and in order, although only a part of it fits into the proxy's
+// buffer.
 func TestLargeAnswersAreStreamed(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	const rows = 400
@@ -147,8 +147,8 @@
 	require.NotEmpty(t, token(c), "the end of the answer waited for the gate")
 }
 
-// A caller asks for a large answer and does not read it. Its request must not
-// keep the connection to the target beyond its deadline.
+// A caller requests a large answer and does not read it. Its request must not hold the connection
+// to the target beyond its deadline.
 func TestSlowReaderLosesItsConnection(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	startScripted(t, cl, func(b *pgproto3.Backend, sql string) {
--- a/proxy/failure_test.go
+++ b/proxy/failure_test.go
@@ -16,51 +16,49 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// A note is written without a key and its answer is lost. The proxy must not
-// send it again, and must not say that it did not run: it did.
+// The answer to a write without a key is lost. The proxy must not send the write again, and must
+// not report that it did not run, because it did.
 func TestLostAnswerOfAnUnkeyedWriteIsUnknown(t *testing.T) {
 	r := startProxy(t, startCluster(t, dbd.Options{}))
 	c := r.connect(t)
-	r.trip.arm("INSERT 0 1\x00")
+	r.faults.breakOnRead("INSERT 0 1\x00")
 	_, err := c.Exec(context.Background(), "INSERT INTO passes (id, seat) VALUES ('n1', 1)")
 	e := pgError(t, err)
 	require.Equal(t, "08007", e.Code)
 	require.Contains(t, e.Detail, "outcome=unknown retry-after-ms=")
-	require.Equal(t, 1, r.trip.hits)
+	require.Equal(t, 1, r.faults.hits)
 	require.Empty(t, token(c))
 	require.Equal(t, 1, queryInt(t, c, "SELECT count(*) FROM passes"))
 }
 
-// The same for a kind that may be repeated, and for a read: the caller sees
-// nothing of the loss.
+// The answer to a write of an idempotent kind, and that to a read, are lost. The proxy repeats
+// both, and the caller sees no failure.
 func TestRepeatableRequestsSurviveALostAnswer(t *testing.T) {
 	r := startProxy(t, startCluster(t, dbd.Options{}))
 	c := r.connect(t, simple)
 	exec(t, c, "INSERT INTO passes (id, seat) VALUES ('n1', 1)")
-	r.trip.arm("UPDATE 1\x00")
+	r.faults.breakOnRead("UPDATE 1\x00")
 	exec(t, c, "/*endivemoor kind=set-seat*/ UPDATE passes SET seat = 9 WHERE id = 'n1'")
-	r.trip.arm("SELECT 1\x00")
+	r.faults.breakOnRead("SELECT 1\x00")
 	require.Equal(t, 9, queryInt(t, c, "/*endivemoor kind=balance*/ SELECT seat FROM passes WHERE id = 'n1'"))
-	require.Equal(t, 2, r.trip.hits)
+	require.Equal(t, 2, r.faults.hits)
 }
 
-// The connection breaks in the middle of a transaction of the caller's. The
-// caller must not go on as if it were open: what follows would be committed
-// without what came before.
+// The connection breaks in the middle of a caller's transaction. The caller must not continue as if
+// the transaction were open, since later statements would be committed without the earlier ones.
 func TestBrokenTransactionEndsTheSession(t *testing.T) {
 	r := startProxy(t, startCluster(t, dbd.Options{}))
 	c := r.connect(t, simple)
 	exec(t, c, "BEGIN")
-	r.trip.arm("INSERT 0 1\x00")
+	r.faults.breakOnRead("INSERT 0 1\x00")
 	_, err := c.Exec(context.Background(), "INSERT INTO passes (id, seat) VALUES ('n1', 1)")
 	require.Equal(t, "FATAL", pgError(t, err).Severity)
 	require.True(t, c.IsClosed())
 	require.Zero(t, queryInt(t, r.connect(t), "SELECT count(*) FROM passes"))
 }
 
-// The gate finds no proof that the primary still leads. The write is in its
-// log, but the caller hears neither "done" nor "not run", and its watermark
-// stays where it was.
+// The gate finds no proof that the primary still leads. The write is in the primary's log, but the
+// caller receives neither "done" nor "not-run", and its watermark does not advance.
 func TestUnprovenCommitIsUnknown(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	r := startProxy(t, cl)
@@ -82,8 +80,8 @@
 	require.Empty(t, cl.gate.acked)
 }
 
-// The server that commits is not the primary of the term that the write was
-// sent under. Its position says nothing of the group's history.
+// The server that commits is not the primary of the term under which the write was sent. Its
+// position says nothing about the history of the group.
 func TestCommitUnderAnotherTermIsUnknown(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	r := startProxy(t, cl)
@@ -96,9 +94,9 @@
 	require.Empty(t, cl.gate.acked)
 }
 
-// A promotion happens while the proxy's view is old. The fenced primary refuses
-// the write by its own word, so the proxy may wait for the new view and send
-// the write to the new primary: the caller sees only a delay.
+// A promotion happens while the proxy's view is outdated. The fenced primary itself refuses the
+// write, so the proxy may wait for the new view and send the write to the new primary: the caller
+// sees only a delay.
 func TestWriteToAFencedPrimaryGoesToTheNewOne(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	r := startProxy(t, cl)
@@ -106,13 +104,13 @@
 	exec(t, c, "INSERT INTO passes (id, seat) VALUES ('n0', 1)")
 	cl.caughtUp(t)
 	g := cl.promote(t, 1, 2, 0)
-	before := r.board.ends.Load()
+	before := r.tracker.ends.Load()
 	done := make(chan error, 1)
 	go func() {
 		_, err := c.Exec(context.Background(), "INSERT INTO passes (id, seat) VALUES ('n1', 1)")
 		done <- err
 	}()
-	require.Eventually(t, func() bool { return r.board.ends.Load() > before }, waitLimit, time.Millisecond)
+	require.Eventually(t, func() bool { return r.tracker.ends.Load() > before }, waitLimit, time.Millisecond)
 	cl.publish(g)
 	require.NoError(t, <-done)
 	require.Equal(t, "fenced", r.last().Attempts[0].Failure)
@@ -120,8 +118,8 @@
 	require.Equal(t, 2, queryInt(t, c, "SELECT count(*) FROM passes"))
 }
 
-// The primary's process is gone and nobody has noticed yet. Writes that were
-// not sent wait for the next primary instead of failing.
+// The process of the primary has died, and this has not been detected yet. Writes that were not
+// sent wait for the next primary instead of failing.
 func TestQueuedWriteWaitsForTheNextPrimary(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	r := startProxy(t, cl)
@@ -138,8 +136,8 @@
 	require.Len(t, cl.committed(1), 1)
 }
 
-// No primary comes before the deadline. The answer is "not run", because no
-// byte was sent, and it says when to come back.
+// No primary is available before the deadline. The outcome is "not-run", because no byte was sent,
+// and the error carries a retry-after.
 func TestNoPrimaryIsNotRun(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	r := startProxy(t, cl)
@@ -151,9 +149,8 @@
 	require.Contains(t, []string{"53300", "57P03"}, e.Code)
 }
 
-// A target answers long after the proxy has given up on the request. The late
-// answer must reach nobody: not the caller that has its final answer, and not
-// the next one on the same server.
+// A target answers long after the proxy has given up the request. The late answer must not reach
+// any caller: neither the one that has its final answer, nor the next one on the same server.
 func TestLateAnswersReachNobody(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	release, late := make(chan struct{}), make(chan struct{})
@@ -177,9 +174,8 @@
 	}
 }
 
-// Many callers run transactions over a few connections, some of which break or
-// are left open. The target's own record shows that no transaction holds
-// statements of two callers.
+// Many callers run transactions over a few connections, some of which break or are left open. The
+// target's record shows that no transaction contains statements of two callers.
 func TestTransactionsNeverMix(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	r := startProxy(t, cl)
@@ -232,8 +228,8 @@
 	return found
 }
 
-// A caller writes through one proxy and reads through another before the
-// replicas have its write. With its token, and also without, it sees it.
+// A caller writes through one proxy and reads through another before the replicas have its write.
+// It reads its write with its token, and also without.
 func TestRoamingReadsItsOwnWrite(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	for _, s := range cl.servers[1:] {
@@ -254,9 +250,9 @@
 	}
 }
 
-// The token comes from a term that this proxy has not heard of. Its primary is
-// superseded, so nothing here can prove to hold the session's write: the read
-// waits for the new view.
+// The token is from a term that this proxy has not received yet. The primary in its view is
+// superseded, so no server in the view can be proven to hold the session's write: the read waits
+// for the new view.
 func TestTokenFromALaterTermWaitsForTheView(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	r1 := startProxy(t, cl)
@@ -275,9 +271,9 @@
 	require.Equal(t, 5, queryInt(t, c, "SELECT seat FROM passes WHERE id = 'p'"))
 }
 
-// A replica was promoted a moment ago and the proxy's view is old. A statement
-// that was declared a read, but writes, commits there. It passed no gate under
-// the new term, so the caller is told "unknown" and not "done".
+// A replica was promoted recently, and the proxy's view is outdated. A statement that was declared
+// as a read, but writes, commits there. It passed no gate under the new term, so the caller
+// receives "unknown" and not "done".
 func TestWriteDeclaredAsReadAtANewPrimaryIsUnknown(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	r := startProxy(t, cl)
--- a/proxy/guards_test.go
+++ b/proxy/guards_test.go
@@ -17,34 +17,34 @@
 	"endivemoor.example/endivemoor/pool"
 )
 
-// Each case brings about the failure that a guard is meant for, and judges by
-// what the callers were told and what the target recorded. With the guard the
-// verdict is empty; without it the judge must find the breach.
-var guardCases = map[guard.Name]func(t *testing.T, g guard.Set) string{
-	filter.GuardGate:  judgeGate,
-	filter.GuardFloor: judgeFloor,
-	GuardTerm:         judgeTerm,
-	GuardKeyRow:       judgeKeyRow,
-	GuardKeyUser:      judgeKeyUser,
-	GuardDigest:       judgeDigest,
-	GuardControl:      judgeControl,
-	GuardStray:        judgeStray,
-	pool.GuardReset:   judgeReset,
-	pool.GuardClean:   judgeClean,
+// Each checker causes the failure that a guard prevents, and compares what the callers were told
+// with what the target recorded. With the guard the result is empty; without it the checker must
+// find the breach.
+var guardCheckers = map[guard.Name]func(t *testing.T, g guard.Set) string{
+	filter.GuardGate:  checkGate,
+	filter.GuardFloor: checkFloor,
+	GuardTerm:         checkTerm,
+	GuardKeyRow:       checkKeyRow,
+	GuardKeyUser:      checkKeyUser,
+	GuardDigest:       checkDigest,
+	GuardControl:      checkControl,
+	GuardStray:        checkStray,
+	pool.GuardReset:   checkReset,
+	pool.GuardClean:   checkClean,
 }
 
-// backedBy names second lines of defence: a connection with an open transaction
-// that comes back is also found out by its reset, which the target refuses.
+// backedBy lists the guards that prevent the same failure: the reset of a returned connection with
+// an open transaction also detects it, since the target refuses the reset.
 var backedBy = map[guard.Name][]guard.Name{
 	pool.GuardClean: {pool.GuardReset},
 }
 
-func TestJudgesNoticeEachGuardTakenOut(t *testing.T) {
-	for name, judge := range guardCases {
+func TestCheckersDetectEachDisabledGuard(t *testing.T) {
+	for name, check := range guardCheckers {
 		t.Run(string(name), func(t *testing.T) {
-			require.Empty(t, judge(t, nil), "with all guards")
+			require.Empty(t, check(t, nil), "with all guards")
 			out := guard.Without(append(backedBy[name], name)...)
-			require.NotEmpty(t, judge(t, out), "without the guard")
+			require.NotEmpty(t, check(t, out), "without the guard")
 		})
 	}
 }
@@ -53,8 +53,8 @@
 	return startProxy(t, cl, func(c *Config) { c.Guards = g })
 }
 
-// A commit that nothing proves is reported as done.
-func judgeGate(t *testing.T, g guard.Set) string {
+// A commit without proof is reported as done.
+func checkGate(t *testing.T, g guard.Set) string {
 	cl := startCluster(t, dbd.Options{})
 	c := guarded(t, cl, g).connect(t)
 	cl.gate.setRefuse(true)
@@ -64,8 +64,8 @@
 	return ""
 }
 
-// A caller roams without its token and reads from before its own write.
-func judgeFloor(t *testing.T, g guard.Set) string {
+// A caller moves to another proxy without its token and reads from before its own write.
+func checkFloor(t *testing.T, g guard.Set) string {
 	cl := startCluster(t, dbd.Options{})
 	r1, r2 := startProxy(t, cl), guarded(t, cl, g)
 	cl.caughtUp(t)
@@ -80,8 +80,8 @@
 	return ""
 }
 
-// A commit of another term than the request's is reported as done.
-func judgeTerm(t *testing.T, g guard.Set) string {
+// A commit under another term than the request's is reported as done.
+func checkTerm(t *testing.T, g guard.Set) string {
 	cl := startCluster(t, dbd.Options{})
 	c := guarded(t, cl, g).connect(t)
 	v := *cl.views.Load().Groups["ledger"]
@@ -94,12 +94,12 @@
 }
 
 // A payment whose answer is lost runs again.
-func judgeKeyRow(t *testing.T, g guard.Set) string {
+func checkKeyRow(t *testing.T, g guard.Set) string {
 	cl := startCluster(t, dbd.Options{})
 	r := guarded(t, cl, g)
 	c := r.connect(t, simple)
 	exec(t, c, "INSERT INTO passes (id, seat) VALUES ('n', 0)")
-	r.trip.arm("COMMIT\x00")
+	r.faults.breakOnRead("COMMIT\x00")
 	_, _ = c.Exec(context.Background(), "/*endivemoor kind=purchase&key=k*/ UPDATE passes SET seat = seat + 1")
 	if n := queryInt(t, c, "SELECT seat FROM passes"); n != 1 {
 		return fmt.Sprintf("ran %d times", n)
@@ -107,8 +107,8 @@
 	return ""
 }
 
-// A service is given another's answer in place of running.
-func judgeKeyUser(t *testing.T, g guard.Set) string {
+// A service receives another service's answer, and its own request does not run.
+func checkKeyUser(t *testing.T, g guard.Set) string {
 	cl := startCluster(t, dbd.Options{})
 	r := guarded(t, cl, g)
 	exec(t, r.connect(t), "INSERT INTO passes (id, seat) VALUES ('n', 0)")
@@ -122,19 +122,19 @@
 	return ""
 }
 
-// A key that is used again for another purchase hides it from its caller.
-func judgeDigest(t *testing.T, g guard.Set) string {
+// A key is reused for another purchase, and the caller receives the answer to the first one.
+func checkDigest(t *testing.T, g guard.Set) string {
 	c := guarded(t, startCluster(t, dbd.Options{}), g).connect(t)
 	_, err := purchase(c, "k", "p1")
 	require.NoError(t, err)
 	if got, err := purchase(c, "k", "p2"); err == nil && got != "p2" {
-		return "was given the answer to another request"
+		return "received the answer to another request"
 	}
 	return ""
 }
 
-// A ROLLBACK inside a keyed request drops its key; repeated, it runs again.
-func judgeControl(t *testing.T, g guard.Set) string {
+// A ROLLBACK inside a keyed request drops the key's row, so a repeat of the request runs again.
+func checkControl(t *testing.T, g guard.Set) string {
 	c := guarded(t, startCluster(t, dbd.Options{}), g).connect(t)
 	exec(t, c, "INSERT INTO passes (id, seat) VALUES ('n', 0)")
 	for range 2 {
@@ -150,8 +150,8 @@
 	return ""
 }
 
-// A message that nothing asked for becomes part of an answer.
-func judgeStray(t *testing.T, g guard.Set) string {
+// A message that answers no request becomes part of an answer.
+func checkStray(t *testing.T, g guard.Set) string {
 	cl := startCluster(t, dbd.Options{})
 	startScripted(t, cl, func(b *pgproto3.Backend, _ string) {
 		b.Send(&pgproto3.ParameterDescription{})
@@ -159,13 +159,13 @@
 	})
 	c := guarded(t, cl, g).connect(t, simple)
 	if _, err := c.Exec(context.Background(), "SELECT"); err == nil {
-		return "a stray message went to the caller"
+		return "a stray message was forwarded to the caller"
 	}
 	return ""
 }
 
-// A prepared statement of one caller is met by the next one.
-func judgeReset(t *testing.T, g guard.Set) string {
+// A prepared statement of one caller is visible to the next one.
+func checkReset(t *testing.T, g guard.Set) string {
 	cl := startCluster(t, dbd.Options{})
 	r := guarded(t, cl, g)
 	one, two := r.connect(t), r.connect(t)
@@ -173,13 +173,13 @@
 	require.NoError(t, err)
 	_, err = two.Prepare(context.Background(), "s", "SELECT 2")
 	if err != nil {
-		return "met another caller's statement: " + err.Error()
+		return "found another caller's statement: " + err.Error()
 	}
 	return ""
 }
 
-// A transaction that its caller left open is continued by the next one.
-func judgeClean(t *testing.T, g guard.Set) string {
+// A transaction that its caller left open is continued by the next caller.
+func checkClean(t *testing.T, g guard.Set) string {
 	cl := startCluster(t, dbd.Options{})
 	r := guarded(t, cl, g)
 	left := r.connect(t, simple)
--- a/proxy/harness_test.go
+++ b/proxy/harness_test.go
@@ -42,7 +42,7 @@
 
 func (c wallClock) Now() clock.Time { return clock.Time(time.Since(c.start)) + 1 }
 
-// testGate asks the stand-ins themselves, and can be made to refuse.
+// testGate reads the positions of the stand-ins directly, and can be made to refuse.
 type testGate struct {
 	c      *cluster
 	mu     sync.Mutex
@@ -77,7 +77,7 @@
 	g.refuse = v
 }
 
-// cluster is a group of three stand-ins with the view that proxies share.
+// cluster is a group of three stand-ins and the view that the proxies share.
 type cluster struct {
 	servers []*dbd.Server
 	views   *view.Holder
@@ -141,11 +141,11 @@
 // rig is one proxy over the cluster.
 type rig struct {
 	*Server
-	c     *cluster
-	board *countingBoard
-	pool  *pool.Pool
-	addr  string
-	trip  *trip
+	c       *cluster
+	tracker *countingTracker
+	pool    *pool.Pool
+	addr    string
+	faults  *faultInjector
 
 	mu      sync.Mutex
 	records []*filter.Record
@@ -164,13 +164,13 @@
 }
 
 func startProxy(t testing.TB, c *cluster, change ...func(*Config)) *rig {
-	r := &rig{c: c, board: &countingBoard{Board: routing.NewBoard()}, trip: &trip{}}
+	r := &rig{c: c, tracker: &countingTracker{Board: routing.NewBoard()}, faults: &faultInjector{}}
 	verifier, err := NewVerifier(password, "0123456789abcdef", minIterations)
 	require.NoError(t, err)
 	creds, err := ParseVerifier(verifier)
 	require.NoError(t, err)
 	cfg := Config{
-		View: c.views, Router: routing.NewRouter(r.board.Board, routing.Evidence{}, 1), Board: r.board, Pool: r.pool,
+		View: c.views, Router: routing.NewRouter(r.tracker.Board, routing.Evidence{}, 1), Board: r.tracker, Pool: r.pool,
 		Limiter: limiter.New(limiter.Config{Queue: admission.Config{}, Clock: c.clk}),
 		Tokens:  c.keys, Users: StaticUsers{"app": creds, "other": creds}, Ack: c.gate, Clock: c.clk,
 		Log: zap.NewNop(), Recorder: r, Zone: "a", Seed: 1,
@@ -196,7 +196,7 @@
 	return r
 }
 
-// dial opens a connection that the rig's trip can break.
+// dial opens a connection that the rig's faultInjector can break.
 func (r *rig) dial(ctx context.Context, srv *view.Server) (*pgconn.HijackedConn, error) {
 	cfg, err := pgconn.ParseConfig("postgres://proxy@" + srv.Addr + "/ledger?sslmode=disable&application_name=proxy")
 	if err != nil {
@@ -205,7 +205,7 @@
 	cfg.DialFunc = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		var d net.Dialer
 		conn, err := d.DialContext(ctx, network, addr)
-		return &tripConn{Conn: conn, trip: r.trip}, err
+		return &faultConn{Conn: conn, faults: r.faults}, err
 	}
 	conn, err := pgconn.ConnectConfig(ctx, cfg)
 	if err != nil {
@@ -214,26 +214,26 @@
 	return conn.Hijack()
 }
 
-// countingBoard counts the exchanges with targets that have ended.
-type countingBoard struct {
+// countingTracker counts the exchanges with targets that have ended.
+type countingTracker struct {
 	*routing.Board
 	ends atomic.Int64
 }
 
-func (b *countingBoard) End(id target.ID, now clock.Time, latency time.Duration, failed bool) {
+func (b *countingTracker) End(id target.ID, now clock.Time, latency time.Duration, failed bool) {
 	b.Board.End(id, now, latency, failed)
 	b.ends.Add(1)
 }
 
-// observe gives the board what probes would have seen.
+// observe records in the tracker what probes would have observed.
 func (r *rig) observe() {
 	for _, s := range r.c.servers {
-		asked := r.c.clk.Now()
+		queried := r.c.clk.Now()
 		st := s.Status()
 		if s == r.c.primary() {
-			r.board.ObservePrimary("ledger", st.Position(), asked)
+			r.tracker.ObservePrimary("ledger", st.Position(), queried)
 		}
-		r.board.Observe(s.ID(), st, asked, r.c.clk.Now())
+		r.tracker.Observe(s.ID(), st, queried, r.c.clk.Now())
 	}
 }
 
@@ -292,8 +292,8 @@
 	return out
 }
 
-// promote makes server id the primary of term, with the others fenced, and
-// leaves the proxies' view as it was.
+// promote makes server id the primary of term, fences the servers in fence, and leaves the view of
+// the proxies unchanged.
 func (c *cluster) promote(t testing.TB, id int, term timeline.Term, fence ...int) view.Group {
 	t.Helper()
 	for _, i := range append(fence, id) {
@@ -309,10 +309,10 @@
 
 func (c *cluster) control(t testing.TB, id int, sql string) {
 	t.Helper()
-	require.NoError(t, c.order(id, sql), sql)
+	require.NoError(t, c.runControl(id, sql), sql)
 }
 
-func (c *cluster) order(id int, sql string) error {
+func (c *cluster) runControl(id int, sql string) error {
 	conn, err := pgx.Connect(context.Background(), "postgres://control@"+c.servers[id].Addr()+"/endivemoor?sslmode=disable")
 	if err != nil {
 		return err
--- a/proxy/input_test.go
+++ b/proxy/input_test.go
@@ -26,7 +26,7 @@
 	"endivemoor.example/endivemoor/session"
 )
 
-// raw connects without a driver.
+// raw opens a connection without a driver.
 func (r *rig) raw(t testing.TB) net.Conn {
 	c, err := net.Dial("tcp", r.addr)
 	require.NoError(t, err)
@@ -34,7 +34,7 @@
 	return c
 }
 
-// lastError reads up to the end and returns the last error message.
+// lastError reads until the connection ends and returns the last error message.
 func lastError(t testing.TB, c net.Conn) *pgproto3.ErrorResponse {
 	f := pgproto3.NewFrontend(c, c)
 	var last *pgproto3.ErrorResponse
@@ -75,8 +75,8 @@
 	exec(t, healthy, "SELECT 1")
 }
 
-// A stranger opens connections and sends a byte now and then. Each would hold a
-// session for ever if every byte bought it more time.
+// A client opens connections and sends a byte now and then before login. If every byte extended the
+// deadline, each connection would hold a session forever.
 func TestSlowStartupIsCut(t *testing.T) {
 	r := startProxy(t, startCluster(t, dbd.Options{}), func(c *Config) { c.Limits.Startup = 50 * time.Millisecond })
 	c := r.raw(t)
@@ -85,7 +85,7 @@
 	require.Eventually(t, func() bool { return r.Sessions() == 0 }, waitLimit, time.Millisecond)
 }
 
-// drip writes first, and then fill again and again until the other side ends.
+// drip writes first, and then fill repeatedly until the other side closes the connection.
 func drip(c net.Conn, first []byte, fill byte) {
 	_, err := c.Write(first)
 	for err == nil {
@@ -94,8 +94,8 @@
 	}
 }
 
-// A message comes byte by byte and never ends. The session ends after a bounded time, and
-// nothing of the message runs.
+// A message arrives byte by byte and never ends. The session ends after a bounded time, and nothing
+// of the message runs.
 func TestUnfinishedMessageIsCut(t *testing.T) {
 	r := startProxy(t, startCluster(t, dbd.Options{}), func(c *Config) { c.Limits.Message = 50 * time.Millisecond })
 	c := r.connect(t)
@@ -211,8 +211,8 @@
 	require.NoError(t, os.WriteFile(keyFile, pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: rawKey}), 0o600))
 }
 
-// FuzzFirstBytes sends anything as the first bytes of a connection. The proxy
-// must neither panic nor keep the session, and must serve the next caller.
+// FuzzFirstBytes sends arbitrary first bytes on a connection. The proxy must neither panic nor keep
+// the session, and must serve the next caller.
 func FuzzFirstBytes(f *testing.F) {
 	r := startProxy(f, startCluster(f, dbd.Options{}))
 	start, err := (&pgproto3.StartupMessage{
@@ -261,8 +261,8 @@
 	require.Equal(t, "54000", pgError(t, err).Code)
 }
 
-// FuzzMessages sends anything after the login. The proxy must neither panic nor
-// keep the session, and its connections to the target must stay usable.
+// FuzzMessages sends arbitrary bytes after the login. The proxy must neither panic nor keep the
+// session, and its connections to the target must stay usable.
 func FuzzMessages(f *testing.F) {
 	r := startProxy(f, startCluster(f, dbd.Options{}))
 	encode := func(ms ...pgproto3.FrontendMessage) (buf []byte) {
--- a/proxy/keyed.go
+++ b/proxy/keyed.go
@@ -18,24 +18,24 @@
 	selectKeySQL = "SELECT digest, answer FROM endivemoor_requests WHERE key = $1"
 )
 
-// maxRecorded bounds a recorded answer, in bytes before encoding.
-const maxRecorded = 64 << 10
+// maxRecordedBytes bounds a recorded answer before its base64 encoding.
+const maxRecordedBytes = 64 << 10
 
-// keyName scopes a request key to its user: two services may use the same key
-// and must not be given each other's answers.
+// keyName scopes a request key to its user: two services may use the same key, and neither may
+// receive the other's answer.
 func (u *unit) keyName() string {
-	if u.out(GuardKeyUser) {
+	if u.disabled(GuardKeyUser) {
 		return u.r.Tag.Key
 	}
 	return url.QueryEscape(u.s.state.User) + ":" + u.r.Tag.Key
 }
 
-// runKeyed runs the chunk inside a transaction that the key's row belongs to.
+// runKeyed runs the chunk in a transaction that also inserts the key's row.
 //
-// Failure guarded against: a payment is sent twice, by an impatient caller or
-// through two proxies at once, and runs twice. The row is inserted before the
-// statement and in the same transaction, so the target lets at most one of them
-// commit; the others find the row and are given its answer.
+// Failure guarded against: a payment is sent twice, because its caller times out early or because
+// it reaches two proxies at once, and it runs twice. The row is inserted before the statement and
+// in the same transaction, so the target lets at most one of them commit; the others find the row
+// and receive its answer.
 func (u *unit) runKeyed() *filter.Failure {
 	if oerr := u.checkKeyed(); oerr != nil {
 		return filter.Refusal(oerr)
@@ -43,107 +43,108 @@
 	digest := u.digest()
 	x, keyErr := u.planKeyed(digest)
 	if err := u.exchange(x, request.StepSent); err != nil {
-		return u.lost(err)
+		return u.exchangeFailed(err)
 	}
 	switch {
 	case *keyErr != nil && outcome.SQLSTATE((*keyErr).Code) == codeUniqueViolation:
-		return u.repeat(digest)
+		return u.answerRepeat(digest)
 	case *keyErr != nil:
-		return u.undo(*keyErr)
+		return u.rollBack(*keyErr)
 	case x.failure != nil:
-		return u.undo(x.failure)
+		return u.rollBack(x.failure)
 	}
 	return u.commitKeyed()
 }
 
-// checkKeyed keeps transaction control out of the statements: a ROLLBACK among
-// them would drop the key's row and let the rest run without it.
+// checkKeyed rejects transaction control among the statements: a ROLLBACK would drop the key's row
+// and let the remaining statements run without it.
 func (u *unit) checkKeyed() *outcome.Error {
 	if u.chunk.end == endFlush {
 		return refuse(codeNotSupported, "Flush is not supported within a keyed request")
 	}
 	for _, st := range u.s.statements(u.chunk) {
-		if st.control && !u.out(GuardControl) {
+		if st.control && !u.disabled(GuardControl) {
 			return refuse(codeNotSupported, "a keyed request takes plain statements without transaction control")
 		}
 	}
 	return nil
 }
 
-// planKeyed returns BEGIN, the key's row and the caller's statements as one
-// batch. If the row is refused the target skips the statements.
+// planKeyed returns BEGIN, the insertion of the key's row and the caller's statements as one batch.
+// If the insertion fails, the target skips the statements.
 func (u *unit) planKeyed(digest string) (*exchange, **pgproto3.ErrorResponse) {
 	x := newExchange(u.lease, u.s.put)
 	x.size = u.chunk.size
 	keyErr := new(*pgproto3.ErrorResponse)
-	x.add(step{msg: &pgproto3.Query{String: "BEGIN"}, show: showNever, on: keepError(keyErr)})
-	if !u.out(GuardKeyRow) {
-		u.addHidden(x, keepError(keyErr), insertKeySQL, u.keyName(), digest)
+	x.add(step{msg: &pgproto3.Query{String: "BEGIN"}, show: showNothing, onMessage: recordError(keyErr)})
+	if !u.disabled(GuardKeyRow) {
+		u.addHidden(x, recordError(keyErr), insertKeySQL, u.keyName(), digest)
 	}
 	planned := map[string]bool{}
 	for _, m := range u.chunk.msgs {
 		if q, ok := m.(*pgproto3.Query); ok {
-			addAsBatch(x, q.String)
+			addExtended(x, q.String)
 			continue
 		}
-		u.ensure(x, m, planned)
+		u.ensurePrepared(x, m, planned)
 		x.add(u.stepFor(m, planned))
 	}
 	x.add(step{msg: &pgproto3.Sync{}})
 	return x, keyErr
 }
 
-// keepError keeps the first error that a step is answered by.
-func keepError(into **pgproto3.ErrorResponse) func(pgproto3.BackendMessage) {
+// recordError returns a callback that stores the first error in a step's answer.
+func recordError(into **pgproto3.ErrorResponse) func(pgproto3.BackendMessage) {
 	return func(m pgproto3.BackendMessage) {
 		if e, ok := m.(*pgproto3.ErrorResponse); ok && *into == nil {
-			kept := *e
-			*into = &kept
+			cp := *e
+			*into = &cp
 		}
 	}
 }
 
-// addHidden adds a statement of the proxy's own. It takes the place of the
-// unnamed statement, so the caller's has to be prepared again.
-func (u *unit) addHidden(x *exchange, on func(pgproto3.BackendMessage), sql string, args ...string) {
+// addHidden adds a statement of the proxy's own. It replaces the unnamed prepared statement, so the
+// caller's has to be prepared again.
+func (u *unit) addHidden(x *exchange, onMessage func(pgproto3.BackendMessage), sql string, args ...string) {
 	delete(u.prepared, "")
 	params := make([][]byte, len(args))
 	for i, a := range args {
 		params[i] = []byte(a)
 	}
-	x.add(step{msg: &pgproto3.Parse{Query: sql}, show: showNever, on: on})
-	x.add(step{msg: &pgproto3.Bind{Parameters: params}, show: showNever, on: on})
-	x.add(step{msg: &pgproto3.Execute{}, show: showNever, on: on})
+	x.add(step{msg: &pgproto3.Parse{Query: sql}, show: showNothing, onMessage: onMessage})
+	x.add(step{msg: &pgproto3.Bind{Parameters: params}, show: showNothing, onMessage: onMessage})
+	x.add(step{msg: &pgproto3.Execute{}, show: showNothing, onMessage: onMessage})
 }
 
-// addAsBatch sends a simple query by Parse, which takes one statement only.
-func addAsBatch(x *exchange, sql string) {
-	x.add(step{msg: &pgproto3.Parse{Query: sql}, show: showNone})
-	x.add(step{msg: &pgproto3.Bind{}, show: showNone})
+// addExtended sends a simple query by the extended protocol, whose Parse accepts a single statement
+// only.
+func addExtended(x *exchange, sql string) {
+	x.add(step{msg: &pgproto3.Parse{Query: sql}, show: showErrors})
+	x.add(step{msg: &pgproto3.Bind{}, show: showErrors})
 	x.add(step{msg: &pgproto3.Describe{ObjectType: 'P'}, show: showRows})
 	x.add(step{msg: &pgproto3.Execute{}, show: showRows})
 }
 
-// undo rolls back and gives the caller the target's error, unless that shows
-// that the server was superseded.
-func (u *unit) undo(e *pgproto3.ErrorResponse) *filter.Failure {
+// rollBack rolls back and forwards the target's error, unless the error shows that the server was
+// superseded.
+func (u *unit) rollBack(e *pgproto3.ErrorResponse) *filter.Failure {
 	x := newExchange(u.lease, u.s.put)
-	x.add(step{msg: &pgproto3.Query{String: tagRollback}, show: showNever})
+	x.add(step{msg: &pgproto3.Query{String: tagRollback}, show: showNothing})
 	u.status = statusReader{}
 	x.add(u.status.step())
 	if err := u.exchange(x, request.StepExecuted); err != nil {
-		return u.lost(err)
+		return u.exchangeFailed(err)
 	}
-	if fail := u.fenced(&exchange{failure: e}); fail != nil {
+	if fail := u.checkFenced(&exchange{failure: e}); fail != nil {
 		return fail
 	}
 	u.s.answer.reset()
-	return u.putOrLose(e)
+	return u.putOrFail(e)
 }
 
-func (u *unit) putOrLose(m pgproto3.BackendMessage) *filter.Failure {
+func (u *unit) putOrFail(m pgproto3.BackendMessage) *filter.Failure {
 	if err := u.s.put(m); err != nil {
-		return u.lost(err)
+		return u.exchangeFailed(err)
 	}
 	return nil
 }
@@ -153,10 +154,10 @@
 	var recordErr, commitErr *pgproto3.ErrorResponse
 	var tag string
 	x := newExchange(u.lease, u.s.put)
-	u.addHidden(x, keepError(&recordErr), updateKeySQL, u.keyName(), u.recorded())
-	x.add(step{msg: &pgproto3.Sync{}, show: showNever})
-	x.add(step{msg: &pgproto3.Query{String: tagCommit}, show: showNever, on: func(m pgproto3.BackendMessage) {
-		keepError(&commitErr)(m)
+	u.addHidden(x, recordError(&recordErr), updateKeySQL, u.keyName(), u.encodeAnswer())
+	x.add(step{msg: &pgproto3.Sync{}, show: showNothing})
+	x.add(step{msg: &pgproto3.Query{String: tagCommit}, show: showNothing, onMessage: func(m pgproto3.BackendMessage) {
+		recordError(&commitErr)(m)
 		if c, ok := m.(*pgproto3.CommandComplete); ok {
 			tag = string(c.CommandTag)
 		}
@@ -164,28 +165,30 @@
 	u.status = statusReader{}
 	x.add(u.status.step())
 	if err := u.exchange(x, request.StepCommitSent); err != nil {
-		return u.lost(err)
+		return u.exchangeFailed(err)
 	}
 	if tag == tagCommit {
-		return u.position()
+		return u.recordPosition()
 	}
-	return u.uncommitted(recordErr, commitErr)
+	return u.commitFailed(recordErr, commitErr)
 }
 
-// uncommitted tells why the target did not commit. Its word proves it.
-func (u *unit) uncommitted(errs ...*pgproto3.ErrorResponse) *filter.Failure {
+// commitFailed forwards the reason for which the target did not commit. The target's reply proves
+// that it did not.
+func (u *unit) commitFailed(errs ...*pgproto3.ErrorResponse) *filter.Failure {
 	for _, e := range errs {
 		if e != nil {
-			return u.undo(e)
+			return u.rollBack(e)
 		}
 	}
-	return u.undo(response(severityError, refuse(codeObjectNotInState, "the transaction was rolled back")))
+	return u.rollBack(response(severityError, refuse(codeObjectNotInState, "the transaction was rolled back")))
 }
 
-// recorded returns the answer as it is kept, or nothing if it is too large.
-func (u *unit) recorded() string {
+// encodeAnswer returns the answer as it is stored with the key, or nothing if it was streamed or is
+// too large.
+func (u *unit) encodeAnswer() string {
 	a := &u.s.answer
-	if a.streamed || len(a.buf) > maxRecorded {
+	if a.streamed || len(a.buf) > maxRecordedBytes {
 		return ""
 	}
 	return base64.StdEncoding.EncodeToString(a.buf)
--- a/proxy/keyed_test.go
+++ b/proxy/keyed_test.go
@@ -12,17 +12,17 @@
 	"endivemoor.example/endivemoor/internal/standin/dbd"
 )
 
-const buy = "/*endivemoor kind=purchase&key=%s*/ INSERT INTO passes (id, seat) VALUES ('%s', 4) RETURNING id, seat"
+const purchaseSQL = "/*endivemoor kind=purchase&key=%s*/ INSERT INTO passes (id, seat) VALUES ('%s', 4) RETURNING id, seat"
 
 func purchase(c *pgx.Conn, key, id string) (string, error) {
 	var got string
 	var seat int
-	err := c.QueryRow(context.Background(), fmt.Sprintf(buy, key, id)).Scan(&got, &seat)
+	err := c.QueryRow(context.Background(), fmt.Sprintf(purchaseSQL, key, id)).Scan(&got, &seat)
 	return got, err
 }
 
-// A passenger's portal times out and asks again, through the balancer and so
-// through another proxy. One pass is sold, and both calls get its answer.
+// A request times out at its caller, which repeats it through another proxy. The purchase runs
+// once, and both requests receive its answer.
 func TestSameKeyRunsOnceAndRepeatsTheAnswer(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	r1, r2 := startProxy(t, cl), startProxy(t, cl)
@@ -40,8 +40,8 @@
 	require.Equal(t, 2, queryInt(t, r1.connect(t), "SELECT count(*) FROM passes"))
 }
 
-// Two proxies get the same key at the same moment, many times over. Whatever
-// the interleaving, one runs and all callers hear the same.
+// Two proxies receive the same key concurrently, repeatedly. In every interleaving one request
+// runs, and all callers receive the same outcome.
 func TestRacingKeysRunOnce(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	rigs := []*rig{startProxy(t, cl), startProxy(t, cl)}
@@ -62,17 +62,17 @@
 	require.Equal(t, rounds, queryInt(t, rigs[0].connect(t), "SELECT count(*) FROM passes"))
 }
 
-// The target commits a purchase and the connection breaks before its answer.
-// The proxy asks by the key, finds the row and tells the caller "done".
+// The target commits a purchase, and the connection breaks before the answer arrives. The proxy
+// looks up the key, finds the row and reports "done".
 func TestLostCommitAnswerIsResolvedByTheKey(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	r := startProxy(t, cl)
 	c := r.connect(t, simple)
-	r.trip.arm("COMMIT\x00")
+	r.faults.breakOnRead("COMMIT\x00")
 	got, err := purchase(c, "k7", "p7")
 	require.NoError(t, err)
 	require.Equal(t, "p7", got)
-	require.Equal(t, 1, r.trip.hits)
+	require.Equal(t, 1, r.faults.hits)
 	require.Len(t, r.last().Attempts, 2)
 	require.Equal(t, 1, queryInt(t, c, "SELECT count(*) FROM passes"))
 }
@@ -88,8 +88,7 @@
 	require.Equal(t, 1, queryInt(t, c, "SELECT count(*) FROM passes"))
 }
 
-// Two services happen to use the same key. Neither may be given the other's
-// answer in place of running.
+// Two services use the same key. Neither may receive the other's answer in place of running.
 func TestKeysOfTwoUsersAreApart(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	r := startProxy(t, cl)
@@ -112,8 +111,8 @@
 	require.NoError(t, err)
 }
 
-// A statement that could end the proxy's transaction would drop the key's row
-// and let the rest run without it.
+// A statement that could end the proxy's transaction would drop the key's row and let the remaining
+// statements run without it.
 func TestKeyedRequestTakesNoTransactionControl(t *testing.T) {
 	r := startProxy(t, startCluster(t, dbd.Options{}))
 	c := r.connect(t, simple)
@@ -129,8 +128,8 @@
 	require.Equal(t, "22023", pgError(t, err).Code, "the kind requires a key")
 }
 
-// A whole transaction carries a key. The caller loses its answer and runs it
-// again from BEGIN: it hears at once that the first one was done.
+// A transaction carries a key. The caller does not receive its outcome and runs it again from
+// BEGIN: the error reports at once that the first one committed.
 func TestKeyedTransactionIsNotRepeated(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	r1, r2 := startProxy(t, cl), startProxy(t, cl)
@@ -154,9 +153,8 @@
 	require.Equal(t, 1, queryInt(t, again, "SELECT count(*) FROM passes"))
 }
 
-// The target commits a keyed transaction and the connection breaks before the
-// answer. The proxy finds the key's row, passes the gate, and tells the caller
-// that its transaction committed.
+// The target commits a keyed transaction, and the connection breaks before the answer arrives. The
+// proxy finds the key's row, passes the gate, and reports that the transaction committed.
 func TestLostCommitOfATransactionIsResolvedByTheKey(t *testing.T) {
 	for name, mode := range map[string]func(*pgx.ConnConfig){"simple": simple, "extended": func(*pgx.ConnConfig) {}} {
 		t.Run(name, func(t *testing.T) {
@@ -165,28 +163,28 @@
 			c := r.connect(t, mode)
 			exec(t, c, "/*endivemoor kind=purchase&key=tx1*/ BEGIN")
 			exec(t, c, "INSERT INTO passes (id, seat) VALUES ($1, 1)", "p1")
-			r.trip.arm("COMMIT\x00")
+			r.faults.breakOnRead("COMMIT\x00")
 			exec(t, c, "COMMIT")
-			require.Equal(t, 1, r.trip.hits)
+			require.Equal(t, 1, r.faults.hits)
 			require.NotEmpty(t, token(c))
 			require.Equal(t, 1, queryInt(t, c, "SELECT count(*) FROM passes"))
 		})
 	}
 }
 
-// The same, but the COMMIT never reached the target: no row is found, which
-// proves nothing, and the caller hears "unknown".
+// The COMMIT of a keyed transaction does not reach the target. No row is found, which proves
+// nothing, and the caller receives "unknown".
 func TestUnfoundKeyStaysUnknown(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	r := startProxy(t, cl)
 	c := r.connect(t, simple)
 	exec(t, c, "/*endivemoor kind=hasty&key=tx1*/ BEGIN")
 	exec(t, c, "INSERT INTO passes (id, seat) VALUES ('p1', 1)")
-	r.trip.armOut("COMMIT\x00")
+	r.faults.breakOnWrite("COMMIT\x00")
 	_, err := c.Exec(context.Background(), "COMMIT")
 	e := pgError(t, err)
 	require.Equal(t, "08007", e.Code)
 	require.Contains(t, e.Detail, "outcome=unknown")
-	require.Greater(t, len(r.last().Attempts), 1, "the key was looked for")
+	require.Greater(t, len(r.last().Attempts), 1, "the key was looked up")
 	require.Empty(t, cl.committed(0))
 }
--- a/proxy/options.go
+++ b/proxy/options.go
@@ -10,17 +10,17 @@
 	"endivemoor.example/endivemoor/outcome"
 )
 
-// paramOptions carries settings as command-line arguments: it is the only way
-// in which libpq and JDBC let a caller name settings of its own.
+// paramOptions carries settings as command-line arguments. It is the only way in which libpq and
+// JDBC let a caller send custom settings.
 const paramOptions = "options"
 
-// commandLine is the form of the options parameter: -c name=value, repeated.
+// commandLine is the syntax of the options parameter: -c name=value, repeated.
 type commandLine struct {
 	Set map[string]string `short:"c" mapsep:"none"`
 }
 
-// startupParams returns the parameters of a startup message with those inside
-// its options. A parameter of its own goes before one of the options.
+// startupParams returns the parameters of a startup message together with those in its options. A
+// separate parameter takes precedence over one in the options.
 func startupParams(in map[string]string) (map[string]string, *outcome.Error) {
 	text := in[paramOptions]
 	if text == "" {
--- a/proxy/options_test.go
+++ b/proxy/options_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A service on libpq can name its profile in the options parameter only. Were
-// that ignored, "any PostgreSQL client" would mean pgx (seen with psql).
+// A service on libpq can name its profile in the options parameter only. Failure guarded against:
+// the parameter is ignored, and no PostgreSQL client but pgx can name a profile (seen with psql).
 func TestOptionsParameterNamesProfileAndToken(t *testing.T) {
 	got, oerr := startupParams(map[string]string{
 		"user": "app", "options": "-c endivemoor.profile=passes -c endivemoor.session=a.b=;c",
--- a/proxy/path_test.go
+++ b/proxy/path_test.go
@@ -84,8 +84,8 @@
 	require.Equal(t, 20, queryInt(t, c, "SELECT count(*) FROM passes"), "the batch is one transaction")
 }
 
-// A driver prepares a statement once and uses it for hours. Each use may get
-// another connection, or another server, that has never heard of it.
+// A driver prepares a statement once and uses it for hours. Each use may get another connection, or
+// another server, on which it was not prepared.
 func TestPreparedStatementsFollowTheCaller(t *testing.T) {
 	r := startProxy(t, startCluster(t, dbd.Options{}))
 	c := r.connect(t)
@@ -145,8 +145,8 @@
 	require.Contains(t, pgError(t, err).Detail, "outcome=not-run")
 }
 
-// A batch larger than the sockets' buffers goes out while its answers come in.
-// Written first and read afterwards, both sides could wait for each other.
+// A batch larger than the socket buffers is written while its answers are read. If it were written
+// first, each side could wait for the other.
 func TestLargeBatchDoesNotBlock(t *testing.T) {
 	r := startProxy(t, startCluster(t, dbd.Options{}))
 	c := r.connect(t)
@@ -163,8 +163,8 @@
 	require.NoError(t, res.Close())
 }
 
-// A driver binds BEGIN, flushes, and executes it in the next part of the batch.
-// The transaction must stay open, with its connection, until it is committed.
+// A driver binds BEGIN, flushes, and executes it in the next part of the batch. The transaction
+// must stay open, with its connection, until it is committed.
 func TestBeginBoundBeforeAFlush(t *testing.T) {
 	r := startProxy(t, startCluster(t, dbd.Options{}))
 	c := r.connect(t, simple)
--- a/proxy/plan.go
+++ b/proxy/plan.go
@@ -7,9 +7,9 @@
 	"endivemoor.example/endivemoor/outcome"
 )
 
-// plan turns the caller's messages into steps. Statements that were prepared
-// on another connection are prepared here first, under the caller's own names:
-// the reset between owners forgets them.
+// plan turns the caller's messages into steps. Statements that were prepared on another connection
+// are first prepared on this one, under the caller's names, since the reset between owners
+// deallocates them.
 func (u *unit) plan(x *exchange) {
 	x.size = u.chunk.size
 	planned := map[string]bool{}
@@ -17,17 +17,17 @@
 		if u.skipping {
 			break
 		}
-		u.ensure(x, m, planned)
+		u.ensurePrepared(x, m, planned)
 		x.add(u.stepFor(m, planned))
 	}
-	u.end(x)
+	u.endChunk(x)
 }
 
-// ensure adds a Parse for the statement that m refers to, if this connection
-// does not have it. A Parse that gives a taken name to another statement is
-// sent after the first, so that the target refuses it as it should.
-func (u *unit) ensure(x *exchange, m pgproto3.FrontendMessage, planned map[string]bool) {
-	name, refers := refersTo(m)
+// ensurePrepared adds a Parse for the statement that m refers to, if this connection does not have
+// it. A Parse that reuses a name for another statement is sent after the first, so that the target
+// refuses it as it would on a direct connection.
+func (u *unit) ensurePrepared(x *exchange, m pgproto3.FrontendMessage, planned map[string]bool) {
+	name, refers := referencedStatement(m)
 	if !refers || u.prepared[name] || planned[name] {
 		return
 	}
@@ -36,10 +36,10 @@
 		return
 	}
 	planned[name] = true
-	x.add(step{msg: st, show: showNone, on: u.noteParsed(name)})
+	x.add(step{msg: st, show: showErrors, onMessage: u.recordPrepared(name)})
 }
 
-func refersTo(m pgproto3.FrontendMessage) (string, bool) {
+func referencedStatement(m pgproto3.FrontendMessage) (string, bool) {
 	switch m := m.(type) {
 	case *pgproto3.Bind:
 		return m.PreparedStatement, true
@@ -51,7 +51,7 @@
 	return "", false
 }
 
-func (u *unit) noteParsed(name string) func(pgproto3.BackendMessage) {
+func (u *unit) recordPrepared(name string) func(pgproto3.BackendMessage) {
 	return func(m pgproto3.BackendMessage) {
 		if _, ok := m.(*pgproto3.ParseComplete); ok {
 			u.prepared[name] = true
@@ -59,33 +59,33 @@
 	}
 }
 
-// stepFor returns the step for a message of the caller's, and keeps the book
-// on its prepared statements as the target confirms them.
+// stepFor returns the step for a message of the caller, and updates the records of the caller's
+// prepared statements as the target confirms them.
 func (u *unit) stepFor(m pgproto3.FrontendMessage, planned map[string]bool) step {
 	st := step{msg: m}
 	switch m := m.(type) {
 	case *pgproto3.Parse:
 		planned[m.Name] = true
-		st.on = u.keepParse(m)
+		st.onMessage = u.recordParse(m)
 	case *pgproto3.Close:
 		if m.ObjectType == 'S' {
 			planned[m.Name] = false
-			st.on = u.dropParse(m.Name)
+			st.onMessage = u.recordClose(m.Name)
 		}
 	}
 	return st
 }
 
-func (u *unit) keepParse(p *pgproto3.Parse) func(pgproto3.BackendMessage) {
+func (u *unit) recordParse(p *pgproto3.Parse) func(pgproto3.BackendMessage) {
 	return func(m pgproto3.BackendMessage) {
 		if _, ok := m.(*pgproto3.ParseComplete); ok {
 			u.prepared[p.Name] = true
-			u.s.stmts.keep(p)
+			u.s.stmts.add(p)
 		}
 	}
 }
 
-func (u *unit) dropParse(name string) func(pgproto3.BackendMessage) {
+func (u *unit) recordClose(name string) func(pgproto3.BackendMessage) {
 	return func(m pgproto3.BackendMessage) {
 		if _, ok := m.(*pgproto3.CloseComplete); ok {
 			delete(u.prepared, name)
@@ -94,9 +94,9 @@
 	}
 }
 
-// end closes the batch, and asks for the position along with it if the chunk
-// is likely to commit.
-func (u *unit) end(x *exchange) {
+// endChunk adds the message that ends the chunk, and the status query if the chunk is likely to
+// commit.
+func (u *unit) endChunk(x *exchange) {
 	u.status = statusReader{}
 	switch u.chunk.end {
 	case endFlush:
@@ -108,15 +108,14 @@
 	if u.likelyCommits() {
 		x.add(u.status.step())
 	}
-	u.reset = u.surelyEnds()
+	u.reset = u.certainlyIdleAfter()
 	x.reset = u.reset
 }
 
-// surelyEnds reports whether the connection is free after the chunk, whatever
-// the target answers: there is nothing more to ask, and no statement can open a
-// transaction. After a Flush the chunk may run what was bound before it, so
-// nothing is sure.
-func (u *unit) surelyEnds() bool {
+// certainlyIdleAfter reports whether the connection is free after the chunk, whatever the target
+// answers: no status query will follow, and no statement can open a transaction. After a Flush the
+// chunk may execute a statement that was bound before it, so nothing is certain.
+func (u *unit) certainlyIdleAfter() bool {
 	if u.open || u.flushed || u.r.Explicit || (u.r.OnPrimary() && u.r.IsRead()) {
 		return false
 	}
@@ -128,9 +127,9 @@
 	return true
 }
 
-// likelyCommits guesses. A wrong guess costs a round trip or a needless
-// question, never the order of things: learn and conclude go by what the
-// target reports.
+// likelyCommits predicts whether the chunk commits. A wrong prediction costs a round trip or a
+// needless status query but never affects the result: applyCommandTags and findPosition use what
+// the target reports.
 func (u *unit) likelyCommits() bool {
 	if !u.r.OnPrimary() || u.r.IsRead() || !u.r.Executes {
 		return false
@@ -162,9 +161,9 @@
 		Work:     w,
 	}
 	r.Explicit = r.Executes && len(statements) > 0 && statements[0].opens()
-	if r.Executes && !s.pending.IsZero() {
-		r.Tags = append(r.Tags, s.pending)
-		s.pending = filter.Tag{}
+	if r.Executes && !s.pendingTag.IsZero() {
+		r.Tags = append(r.Tags, s.pendingTag)
+		s.pendingTag = filter.Tag{}
 	}
 	r.Load(s.srv.cfg.View)
 	return r, nil
--- a/proxy/reader.go
+++ b/proxy/reader.go
@@ -5,56 +5,55 @@
 	"time"
 )
 
-// phase is how far the reading of a message has come.
+// phase is the progress in reading a message.
 type phase uint8
 
 const (
-	// login leaves the deadline of the whole login alone.
-	login phase = iota
-	// fresh messages have no byte read yet.
-	fresh
-	// begun messages are read in part.
-	begun
-	// timed messages have the deadline of their rest set.
-	timed
+	// phaseLogin keeps the deadline that covers the whole login.
+	phaseLogin phase = iota
+	// phaseUnread: no byte has been read.
+	phaseUnread
+	// phaseStarted: a part has been read.
+	phaseStarted
+	// phaseTimed: the deadline for the remainder has been set.
+	phaseTimed
 )
 
-// patientReader reads messages from a caller. It waits for the first bytes of
-// a message as long as begin allows, and for all of the rest for one bounded
-// time.
+// messageReader reads messages from a caller. It waits for the first bytes of a message until the
+// time passed to begin, and for all of the remainder for messageTimeout.
 //
-// Failure guarded against: a caller sends a message byte by byte, or stops in
-// the middle, and keeps the proxy's memory and session for ever. The time is
-// set once for each message, so single bytes do not extend it.
-type patientReader struct {
-	conn  net.Conn
-	rest  time.Duration
-	phase phase
-	// armed says that a read deadline is set.
-	armed bool
+// Failure guarded against: a caller sends a message byte by byte, or stops in the middle, and holds
+// the proxy's memory and its session forever. The deadline is set once for each message, so further
+// bytes do not extend it.
+type messageReader struct {
+	conn           net.Conn
+	messageTimeout time.Duration
+	phase          phase
+	// deadlineSet reports whether the connection has a read deadline.
+	deadlineSet bool
 }
 
-// begin starts a message. A zero until waits for ever.
-func (p *patientReader) begin(until time.Time) error {
-	p.phase = fresh
-	if until.IsZero() && !p.armed {
+// begin prepares for the next message. If until is zero, the wait for its first bytes is unbounded.
+func (p *messageReader) begin(until time.Time) error {
+	p.phase = phaseUnread
+	if until.IsZero() && !p.deadlineSet {
 		return nil
 	}
-	p.armed = !until.IsZero()
+	p.deadlineSet = !until.IsZero()
 	return p.conn.SetReadDeadline(until)
 }
 
 // Read implements io.Reader.
-func (p *patientReader) Read(b []byte) (int, error) {
-	if p.phase == begun {
-		p.phase, p.armed = timed, true
-		if err := p.conn.SetReadDeadline(time.Now().Add(p.rest)); err != nil {
+func (p *messageReader) Read(b []byte) (int, error) {
+	if p.phase == phaseStarted {
+		p.phase, p.deadlineSet = phaseTimed, true
+		if err := p.conn.SetReadDeadline(time.Now().Add(p.messageTimeout)); err != nil {
 			return 0, err
 		}
 	}
 	n, err := p.conn.Read(b)
-	if p.phase == fresh {
-		p.phase = begun
+	if p.phase == phaseUnread {
+		p.phase = phaseStarted
 	}
 	return n, err
 }
--- a/proxy/repeat.go
+++ b/proxy/repeat.go
@@ -14,13 +14,13 @@
 	"endivemoor.example/endivemoor/request"
 )
 
-// explicitDigest stands for all explicit transactions of a kind: their
-// statements are not known when the key's row is inserted.
+// explicitDigest is the digest of every explicit transaction, whose statements are not known when
+// the key's row is inserted.
 const explicitDigest = "transaction"
 
-// digest identifies what the keyed chunk asks for: the kind, each statement's
-// text without its tag, its parameters and formats, and the sequence of
-// messages, so that a recorded answer has the shape that is expected.
+// digest identifies the content of the keyed chunk: the kind, each statement's text without its
+// tag, its parameters and formats, and the sequence of messages, so that a recorded answer has the
+// messages that the caller expects.
 func (u *unit) digest() string {
 	h := sha256.New()
 	hashText(h, u.r.Kind.Name)
@@ -53,7 +53,7 @@
 	return rest
 }
 
-// hashText adds strings with their lengths, so that no two lists are alike.
+// hashText adds strings with their lengths, so that no two lists produce the same input.
 func hashText(h hash.Hash, texts ...string) {
 	for _, t := range texts {
 		var n [8]byte
@@ -63,30 +63,30 @@
 	}
 }
 
-// hashMessage adds a message in its wire form, which holds its length. A
-// message that came from the wire can be encoded again.
+// hashMessage adds a message in its wire form, which includes its length. A message that was
+// decoded from the wire can always be encoded again.
 func hashMessage(h hash.Hash, m pgproto3.FrontendMessage) {
 	buf, _ := m.Encode(nil)
 	h.Write(buf)
 }
 
-// record is a row of the table of request keys.
-type record struct {
+// keyRecord is a row of the table of request keys.
+type keyRecord struct {
 	found          bool
 	digest, answer string
 }
 
-func (r *record) take(m pgproto3.BackendMessage) {
+func (r *keyRecord) scan(m pgproto3.BackendMessage) {
 	if d, ok := m.(*pgproto3.DataRow); ok && len(d.Values) == 2 {
 		r.found = true
 		r.digest, r.answer = string(d.Values[0]), string(d.Values[1])
 	}
 }
 
-// repeat answers a request whose key is taken by what was recorded with it.
-// The row may have been committed a moment ago by a primary that is being
-// superseded, so this answer passes the gate like the first one.
-func (u *unit) repeat(digest string) *filter.Failure {
+// answerRepeat answers a request whose key is taken with the answer recorded for the key. The row
+// may have been committed only recently, by a primary that is being superseded, so this answer
+// passes the gate like the first one.
+func (u *unit) answerRepeat(digest string) *filter.Failure {
 	rec, fail := u.readRecord()
 	if fail != nil {
 		return fail
@@ -94,26 +94,26 @@
 	if !rec.found {
 		return &filter.Failure{
 			Cause: request.FailureLost,
-			Err:   outcome.Lost(comeBack, "the request key was taken by a transaction that ended otherwise"),
+			Err:   outcome.Lost(retryAfter, "the request key was taken by a transaction that ended otherwise"),
 		}
 	}
-	if fail := u.position(); fail != nil {
+	if fail := u.recordPosition(); fail != nil {
 		return fail
 	}
 	u.s.answer.reset()
-	if rec.digest != digest && !u.out(GuardDigest) {
+	if rec.digest != digest && !u.disabled(GuardDigest) {
 		u.r.Committed = false
-		return u.putOrLose(response(severityError, refuse(outcome.CodeInvalidParameter,
+		return u.putOrFail(response(severityError, refuse(outcome.CodeInvalidParameter,
 			"the request key was used for another request")))
 	}
 	return u.replay(rec)
 }
 
 // replay puts the recorded answer in place of one from the target.
-func (u *unit) replay(rec *record) *filter.Failure {
+func (u *unit) replay(rec *keyRecord) *filter.Failure {
 	raw, err := base64.StdEncoding.DecodeString(rec.answer)
 	if err != nil || len(raw) == 0 {
-		return u.putOrLose(alreadyExecuted())
+		return u.putOrFail(alreadyExecuted())
 	}
 	u.s.answer.buf = append(u.s.answer.buf, raw...)
 	u.s.answer.held = 0
@@ -128,28 +128,27 @@
 	})
 }
 
-// readRecord ends the failed transaction and reads the key's row.
-func (u *unit) readRecord() (*record, *filter.Failure) {
-	rec := &record{}
+// readRecord rolls back the failed transaction and reads the key's row.
+func (u *unit) readRecord() (*keyRecord, *filter.Failure) {
+	rec := &keyRecord{}
 	x := newExchange(u.lease, u.s.put)
-	x.add(step{msg: &pgproto3.Query{String: tagRollback}, show: showNever})
-	u.addHidden(x, rec.take, selectKeySQL, u.keyName())
-	x.add(step{msg: &pgproto3.Sync{}, show: showNever})
+	x.add(step{msg: &pgproto3.Query{String: tagRollback}, show: showNothing})
+	u.addHidden(x, rec.scan, selectKeySQL, u.keyName())
+	x.add(step{msg: &pgproto3.Sync{}, show: showNothing})
 	u.status = statusReader{}
 	x.add(u.status.step())
 	if err := u.exchange(x, request.StepExecuted); err != nil {
-		return nil, u.lost(err)
+		return nil, u.exchangeFailed(err)
 	}
 	return rec, nil
 }
 
-// wantsKey reports whether the transaction carries a key whose row is still to
-// be inserted.
-func (u *unit) wantsKey() bool { return u.r.Tag.Key != "" && !u.keyed }
+// needsKey reports whether the transaction carries a key whose row is not yet inserted.
+func (u *unit) needsKey() bool { return u.r.Tag.Key != "" && !u.keyed }
 
-// insertKey inserts the key's row within an open transaction. A conflict fails
-// the transaction; the caller is told that the key is taken, but not that the
-// other transaction is done: no gate was passed.
+// insertKey inserts the key's row within an open transaction. A conflict fails the transaction. The
+// error for the caller reports that the key is taken but not that the other transaction committed,
+// since that did not pass the gate.
 func (u *unit) insertKey() (conflict bool, fail *filter.Failure) {
 	keyErr, fail := u.tryInsert()
 	if fail != nil || keyErr == nil {
@@ -157,28 +156,28 @@
 	}
 	if outcome.SQLSTATE(keyErr.Code) == codeUniqueViolation {
 		keyErr = response(severityError, &outcome.Error{
-			Code: outcome.CodeAlreadyExecuted, RetryAfter: comeBack,
+			Code: outcome.CodeAlreadyExecuted, RetryAfter: retryAfter,
 			Message: "the request key is taken: repeat the transaction with the key at BEGIN to learn its outcome",
 		})
 	}
 	u.skipping = u.chunk.end == endFlush
-	return true, u.putOrLose(keyErr)
+	return true, u.putOrFail(keyErr)
 }
 
 func (u *unit) tryInsert() (*pgproto3.ErrorResponse, *filter.Failure) {
 	var keyErr *pgproto3.ErrorResponse
 	x := newExchange(u.lease, u.s.put)
-	u.addHidden(x, keepError(&keyErr), insertKeySQL, u.keyName(), explicitDigest)
-	x.add(step{msg: &pgproto3.Sync{}, show: showNever})
+	u.addHidden(x, recordError(&keyErr), insertKeySQL, u.keyName(), explicitDigest)
+	x.add(step{msg: &pgproto3.Sync{}, show: showNothing})
 	if err := u.exchange(x, request.StepSent); err != nil {
-		return nil, u.lost(err)
+		return nil, u.exchangeFailed(err)
 	}
 	u.keyed = true
 	return keyErr, nil
 }
 
-// insertOpeningKey inserts the row right after BEGIN. If the key is taken the
-// transaction ends here, and its outcome passes the gate.
+// insertOpeningKey inserts the row directly after BEGIN. If the key is taken, the transaction ends
+// here, and the recorded outcome passes the gate.
 func (u *unit) insertOpeningKey() (byte, *filter.Failure) {
 	keyErr, fail := u.tryInsert()
 	if fail != nil || keyErr == nil {
@@ -186,7 +185,7 @@
 	}
 	u.ran, u.committed = false, false
 	if outcome.SQLSTATE(keyErr.Code) != codeUniqueViolation {
-		return txIdle, u.undo(keyErr)
+		return txIdle, u.rollBack(keyErr)
 	}
-	return txIdle, u.repeat(explicitDigest)
+	return txIdle, u.answerRepeat(explicitDigest)
 }
--- a/proxy/reply.go
+++ b/proxy/reply.go
@@ -10,7 +10,7 @@
 	"endivemoor.example/endivemoor/outcome"
 )
 
-// handle runs one request and reports whether the session goes on.
+// handle runs one request and reports whether the session continues.
 func (s *caller) handle(c *chunk) bool {
 	w := &work{s: s, chunk: c, current: c}
 	r, err := s.newRequest(w)
@@ -26,20 +26,20 @@
 	return s.replyFailure(w, fail)
 }
 
-// reply sends the whole answer. The token goes first: a caller that has seen
+// reply sends the whole answer. The token precedes ReadyForQuery, so that a caller that received
 // ReadyForQuery has the token of its write.
 func (s *caller) reply() bool {
 	ready := &pgproto3.ReadyForQuery{TxStatus: txIdle}
 	if !s.state.Dirty {
-		return s.release(ready)
+		return s.sendAnswer(ready)
 	}
 	s.state.Dirty = false
-	return s.release(&pgproto3.ParameterStatus{Name: paramToken, Value: s.token()}, ready)
+	return s.sendAnswer(&pgproto3.ParameterStatus{Name: paramToken, Value: s.token()}, ready)
 }
 
-// token issues the session's token. If that fails the caller gets an empty one
-// in place of the old: without a token its next session asks the primary, while
-// the old one would let it read from before its write.
+// token issues the session's token. If that fails, the caller receives an empty token in place of
+// the previous one: without a token its next session queries the primary, whereas the previous one
+// would allow a read from before the caller's write.
 func (s *caller) token() string {
 	token, err := s.srv.cfg.Tokens.Issue(s.state.User, s.state.Marks, time.Now())
 	if err != nil {
@@ -56,26 +56,25 @@
 		s.answer.held = -1
 		return s.stream() == nil
 	}
-	ok := s.release(&pgproto3.ReadyForQuery{TxStatus: status})
+	ok := s.sendAnswer(&pgproto3.ReadyForQuery{TxStatus: status})
 	s.answer.reset()
 	return ok
 }
 
-// replyFailure sends the final answer of a request without a whole one. What
-// was kept of an answer is dropped.
+// replyFailure sends the error of a failed request. The buffered part of an answer is discarded.
 func (s *caller) replyFailure(w *work, f *filter.Failure) bool {
 	if f.Gone {
 		return false
 	}
 	if f.Fatal {
-		s.fatal(f.Err)
+		s.sendFatal(f.Err)
 		return false
 	}
 	return s.refuseChunk(w.current, f.Err)
 }
 
-// refuseChunk answers a chunk by an error. After a Flush the rest of the batch
-// is still to come.
+// refuseChunk answers a chunk with an error. After a Flush the remainder of the batch is still to
+// come.
 func (s *caller) refuseChunk(c *chunk, e *outcome.Error) bool {
 	s.be.Send(response(severityError, e))
 	if c.end == endFlush {
--- a/proxy/resolve.go
+++ b/proxy/resolve.go
@@ -7,8 +7,8 @@
 	"endivemoor.example/endivemoor/pool"
 )
 
-// Resolve implements filter.Work: it looks for the key of a transaction whose
-// COMMIT has no answer, and makes up the answer if the key is found.
+// Resolve implements filter.Work. It looks up the key of a transaction whose COMMIT got no answer
+// and, if the key is found, constructs the answer.
 func (w *work) Resolve(r *filter.Request, l *pool.Lease) *filter.Failure {
 	u := &unit{s: w.s, w: w, r: r, lease: l, chunk: w.current, prepared: map[string]bool{}}
 	rec, fail := u.readRecord()
@@ -18,7 +18,7 @@
 	if !rec.found || rec.digest != explicitDigest {
 		return filter.Missing()
 	}
-	if fail := u.position(); fail != nil {
+	if fail := u.recordPosition(); fail != nil {
 		return fail
 	}
 	return u.answerCommit()
@@ -29,7 +29,7 @@
 	u.s.answer.reset()
 	for _, m := range u.chunk.msgs {
 		for _, a := range commitAnswer(m) {
-			if fail := u.putOrLose(a); fail != nil {
+			if fail := u.putOrFail(a); fail != nil {
 				return fail
 			}
 		}
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// commitsAlone reports whether the chunk is nothing but a COMMIT, so that its
-// answer is known beforehand.
+// commitsAlone reports whether the chunk is a COMMIT and nothing else, so that its answer is known
+// in advance.
 func (u *unit) commitsAlone() bool {
 	statements := u.s.statements(u.chunk)
 	return u.open && u.keyed && u.chunk.end != endFlush && len(statements) == 1 &&
--- a/proxy/server.go
+++ b/proxy/server.go
@@ -19,7 +19,7 @@
 const (
 	// secretLen is the length of this process's secret, in bytes.
 	secretLen = 32
-	// cancelKeyLen is what protocol 3.0 leaves for a cancel key, in bytes.
+	// cancelKeyLen is the length of a cancel key in protocol 3.0, in bytes.
 	cancelKeyLen = 4
 	// nodeShift puts the node into the upper half of a process id.
 	nodeShift = 16
@@ -30,12 +30,12 @@
 	cfg     Config
 	chain   filter.Handler
 	running *filter.Running
-	// watch starts running once; over ends it, closed by endWatch.
-	watch, endWatch sync.Once
-	over            chan struct{}
-	metrics         *metrics
-	secret          []byte
-	request         atomic.Uint64
+	// startRunning starts running once; stopRunning ends it by closing runningDone.
+	startRunning, stopRunning sync.Once
+	runningDone               chan struct{}
+	metrics                   *metrics
+	secret                    []byte
+	request                   atomic.Uint64
 
 	mu        sync.Mutex
 	listeners map[net.Listener]struct{}
@@ -58,11 +58,11 @@
 		sessions:  map[uint32]*caller{},
 		profiles:  map[string]int{},
 	}
-	// crypto/rand.Read never fails: it ends the process instead.
+	// crypto/rand.Read returns no error: it crashes the process instead.
 	_, _ = rand.Read(s.secret)
 	s.metrics = newMetrics(cfg.Registerer)
 	s.running = filter.NewRunning(cfg.View)
-	s.over = make(chan struct{})
+	s.runningDone = make(chan struct{})
 	s.chain = s.newChain()
 	return s
 }
@@ -107,13 +107,13 @@
 // Serve accepts callers until the listener is closed. It returns nil if Drain
 // closed it.
 func (s *Server) Serve(ln net.Listener) error {
-	if !s.register(ln) {
+	if !s.addListener(ln) {
 		return ln.Close()
 	}
 	stop := s.sweep()
 	defer stop()
-	// It goes on while the sessions of a drain end.
-	s.watch.Do(func() { go s.running.Run(s.over) })
+	// This continues until Drain returns, since sessions remain after the listener is closed.
+	s.startRunning.Do(func() { go s.running.Run(s.runningDone) })
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-func (s *Server) register(ln net.Listener) bool {
+func (s *Server) addListener(ln net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.draining {
@@ -142,29 +142,29 @@
 	return s.draining
 }
 
-// start serves one connection, or turns it away at once.
+// start serves one connection, or rejects it at once.
 func (s *Server) start(conn net.Conn) {
 	ses := newCaller(s, conn)
-	if err := s.enter(ses); err != nil {
+	if err := s.addSession(ses); err != nil {
 		s.metrics.refusedStartup(err.Code)
-		go ses.turnAway(err)
+		go ses.reject(err)
 		return
 	}
 	go func() {
-		defer s.leave(ses)
+		defer s.removeSession(ses)
 		ses.run()
 	}()
 }
 
-// enter gives the session its process id and counts it.
-func (s *Server) enter(ses *caller) *outcome.Error {
+// addSession assigns the session its process id and counts it.
+func (s *Server) addSession(ses *caller) *outcome.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.draining {
 		return shuttingDown()
 	}
 	if s.count >= s.cfg.Limits.MaxSessions {
-		return outcome.Refuse(outcome.CodeTooManyConnections, comeBack, "too many connections to this proxy")
+		return outcome.Refuse(outcome.CodeTooManyConnections, retryAfter, "too many connections to this proxy")
 	}
 	ses.pid = s.freePID()
 	s.sessions[ses.pid] = ses
@@ -174,19 +174,19 @@
 	return nil
 }
 
-// enterProfile counts the session to its profile, within the profile's bound.
-func (s *Server) enterProfile(ses *caller, p *profile.Profile) *outcome.Error {
+// addToProfile counts the session toward its profile, within the profile's limit.
+func (s *Server) addToProfile(ses *caller, p *profile.Profile) *outcome.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p.MaxSessions > 0 && s.profiles[p.Name] >= p.MaxSessions {
-		return outcome.Refuse(outcome.CodeTooManyConnections, comeBack, "too many connections of profile %q", p.Name)
+		return outcome.Refuse(outcome.CodeTooManyConnections, retryAfter, "too many connections of profile %q", p.Name)
 	}
 	s.profiles[p.Name]++
-	ses.counted = p.Name
+	ses.countedProfile = p.Name
 	return nil
 }
 
-// freePID returns an unused process id of this node; 0 is never given out.
+// freePID returns an unused process id of this node. The lower half of an id is never 0.
 func (s *Server) freePID() uint32 {
 	for {
 		s.lastPID++
@@ -197,13 +197,13 @@
 	}
 }
 
-func (s *Server) leave(ses *caller) {
+func (s *Server) removeSession(ses *caller) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.sessions, ses.pid)
 	s.count--
-	if ses.counted != "" {
-		s.profiles[ses.counted]--
+	if ses.countedProfile != "" {
+		s.profiles[ses.countedProfile]--
 	}
 	s.metrics.sessions.Dec()
 	s.done.Done()
@@ -216,12 +216,12 @@
 	return s.count
 }
 
-// Drain stops accepting, tells idle callers to go elsewhere, and waits until
-// the others have ended the request or transaction they are in, or ctx ends.
+// Drain stops accepting connections, disconnects idle callers with an error, and waits until the
+// other sessions have finished their request or transaction, or until ctx ends.
 //
-// Failure guarded against: a proxy that is replaced cuts a request in flight,
-// which shows as an unknown outcome. Only connections without one are closed;
-// an open transaction has the profile's drain grace to end.
+// Failure guarded against: a proxy that is being replaced cuts off a request in flight, and the
+// caller receives an unknown outcome. Only connections without a request are closed; an open
+// transaction may continue for the profile's drain grace.
 func (s *Server) Drain(ctx context.Context) error {
 	s.mu.Lock()
 	s.draining = true
@@ -233,7 +233,7 @@
 	}
 	s.mu.Unlock()
 	s.cfg.Log.Info("proxy_draining", zap.Int("sessions", s.Sessions()))
-	defer s.endWatch.Do(func() { close(s.over) })
+	defer s.stopRunning.Do(func() { close(s.runningDone) })
 	return s.awaitSessions(ctx)
 }
 
@@ -251,13 +251,13 @@
 	}
 }
 
-// Cancel stops the statement that the session with this process id and secret
-// runs. It reports false if there is no such session on this proxy.
+// Cancel stops the statement that the session with this process id and secret is running. It
+// reports false if this proxy has no such session.
 func (s *Server) Cancel(ctx context.Context, pid uint32, secret []byte) bool {
 	s.mu.Lock()
 	ses := s.sessions[pid]
 	s.mu.Unlock()
-	if ses == nil || !ses.holdsSecret(secret) {
+	if ses == nil || !ses.matchesSecret(secret) {
 		return false
 	}
 	ses.cancel(ctx)
--- a/proxy/session.go
+++ b/proxy/session.go
@@ -17,47 +17,47 @@
 	"endivemoor.example/endivemoor/pool"
 )
 
-// comeBack is the advice to callers that are turned away.
-const comeBack = time.Second
+// retryAfter is the usual retry-after of errors that the proxy itself returns.
+const retryAfter = time.Second
 
-// waitFor says what a session waits for while it reads.
-type waitFor uint8
+// waitState is what a session waits for while it reads.
+type waitState uint8
 
 const (
-	// busy sessions have a request in hand.
-	busy waitFor = iota
-	// awaitRequest sessions hold nothing: a drain ends them at once.
+	// busy sessions are processing a request.
+	busy waitState = iota
+	// awaitRequest sessions have no request: a drain ends them at once.
 	awaitRequest
-	// awaitStatement sessions hold an open transaction.
+	// awaitStatement sessions have an open transaction.
 	awaitStatement
 )
 
-// caller serves one connected caller. Its fields belong to the goroutine in run, but
-// for those below mu.
+// caller serves one connected caller. Its fields belong to the goroutine in run, except for those
+// below mu.
 type caller struct {
 	srv    *Server
 	raw    net.Conn
-	in     *patientReader
+	in     *messageReader
 	be     *pgproto3.Backend
 	pid    uint32
 	secret []byte
-	// counted is the profile that the session is counted to; Server.mu guards it.
-	counted string
-	state   filter.Session
+	// countedProfile is the profile that the session counts toward; Server.mu guards it.
+	countedProfile string
+	state          filter.Session
 
 	stmts preparedSet
-	// pending is the tag that a tag-only query left for the next request.
-	pending filter.Tag
-	answer  answer
-	// skipping is set after an error in a batch that was not closed by Sync.
+	// pendingTag is the tag of a tag-only query, for the next request.
+	pendingTag filter.Tag
+	answer     answer
+	// skipping is set after an error in a batch, until the Sync that ends the batch.
 	skipping bool
 
 	mu sync.Mutex
-	// waits, draining and grace let a drain end a session that waits.
-	waits    waitFor
-	draining bool
-	grace    time.Time
-	// lease is what the running request owns; abort stops a queued one.
+	// waiting, draining and graceDeadline let a drain end a session that waits.
+	waiting       waitState
+	draining      bool
+	graceDeadline time.Time
+	// lease is the lease of the running request; abort cancels a queued one.
 	lease *pool.Lease
 	abort context.CancelFunc
 }
@@ -71,12 +71,12 @@
 // attach makes conn the caller's connection; TLS replaces it once.
 func (s *caller) attach(conn net.Conn) {
 	s.raw = conn
-	s.in = &patientReader{conn: conn, rest: s.srv.cfg.Limits.Message, phase: login}
+	s.in = &messageReader{conn: conn, messageTimeout: s.srv.cfg.Limits.Message, phase: phaseLogin}
 	s.be = pgproto3.NewBackend(s.in, conn)
 	s.be.SetMaxBodyLen(maxStartupMessage)
 }
 
-// run serves the caller until it leaves.
+// run serves the caller until the session ends.
 func (s *caller) run() {
 	defer s.close()
 	if !s.login() {
@@ -89,13 +89,13 @@
 func (s *caller) close() { _ = s.raw.Close() }
 
 const (
-	// lingerTime and lingerBytes bound what is read after a last message.
+	// lingerTime and lingerBytes bound the reading after a final message.
 	lingerTime  = time.Second
 	lingerBytes = 1 << 20
 )
 
-// linger lets a last message arrive although the caller has sent more than was
-// read: a close would reset the connection and take the message along.
+// linger lets a final message reach a caller that has sent more than was read: closing the
+// connection with unread input would reset it and discard the message.
 func (s *caller) linger() {
 	half, ok := s.raw.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
@@ -106,15 +106,15 @@
 	}
 }
 
-// serve handles one request and reports whether the session goes on.
+// serve handles one request and reports whether the session continues.
 func (s *caller) serve() bool {
 	c, err := s.readChunk(awaitRequest)
 	if err != nil {
-		s.bye(err)
+		s.reportError(err)
 		return false
 	}
 	if s.skipping {
-		return s.skip(c)
+		return s.skipToSync(c)
 	}
 	if s.answerLocally(c) {
 		return s.flush()
@@ -122,8 +122,8 @@
 	return s.handle(c)
 }
 
-// skip drops what follows an error up to the Sync that ends its batch.
-func (s *caller) skip(c *chunk) bool {
+// skipToSync drops the chunks that follow an error, up to the Sync that ends the batch.
+func (s *caller) skipToSync(c *chunk) bool {
 	if c.end == endFlush {
 		return true
 	}
@@ -132,11 +132,11 @@
 	return s.flush()
 }
 
-// answerLocally answers what needs no target: an empty batch, a query that is
-// only a tag, and statements being forgotten.
+// answerLocally answers a chunk that needs no target: an empty batch, a tag-only query, or the
+// closing of prepared statements.
 func (s *caller) answerLocally(c *chunk) bool {
 	if tag, ok := c.onlyTag(); ok {
-		s.pending = tag
+		s.pendingTag = tag
 		s.be.Send(&pgproto3.EmptyQueryResponse{})
 		s.be.Send(&pgproto3.ReadyForQuery{TxStatus: txIdle})
 		return true
@@ -152,37 +152,37 @@
 	return true
 }
 
-// receive reads one message. fresh says that a new chunk begins.
-func (s *caller) receive(w waitFor, fresh bool) (pgproto3.FrontendMessage, error) {
-	until, ok := s.beginWait(w, fresh)
+// receive reads one message. newChunk reports whether it is the first of a chunk.
+func (s *caller) receive(w waitState, newChunk bool) (pgproto3.FrontendMessage, error) {
+	until, ok := s.beginWait(w, newChunk)
 	if !ok {
 		return nil, shuttingDown()
 	}
 	if err := s.in.begin(until); err != nil {
-		return nil, errCallerGone
+		return nil, errCallerDisconnected
 	}
-	if fresh && s.drainMissed(w) {
+	if newChunk && s.drainStarted(w) {
 		return nil, shuttingDown()
 	}
 	m, err := s.be.Receive()
 	if err != nil {
-		return nil, s.readError(w, fresh, err)
+		return nil, s.readError(w, newChunk, err)
 	}
 	s.setBusy()
 	return m, nil
 }
 
-func (s *caller) readError(w waitFor, fresh bool, err error) error {
-	if isGone(err) {
-		return errCallerGone
+func (s *caller) readError(w waitState, newChunk bool, err error) error {
+	if isDisconnect(err) {
+		return errCallerDisconnected
 	}
-	if fresh && isTimeout(err) {
-		return s.waitedTooLong(w)
+	if newChunk && isTimeout(err) {
+		return s.waitTimedOut(w)
 	}
 	return readRefusal(err)
 }
 
-func (s *caller) waitedTooLong(w waitFor) error {
+func (s *caller) waitTimedOut(w waitState) error {
 	if s.isDraining() {
 		return shuttingDown()
 	}
@@ -192,15 +192,15 @@
 	return refuse(outcome.CodeProtocolViolation, messageProtocolTimeout)
 }
 
-// bye tells the caller why its connection ends.
-func (s *caller) bye(err error) {
+// reportError sends the error that ends the session, unless the caller disconnected.
+func (s *caller) reportError(err error) {
 	var oerr *outcome.Error
 	if errors.As(err, &oerr) {
-		s.fatal(oerr)
+		s.sendFatal(oerr)
 	}
 }
 
-func (s *caller) fatal(e *outcome.Error) {
+func (s *caller) sendFatal(e *outcome.Error) {
 	s.be.Send(response(severityFatal, e))
 	s.flush()
 	s.srv.cfg.Log.Info("session_ended", zap.Uint32("pid", s.pid), zap.String("user", s.state.User),
@@ -210,15 +210,15 @@
 	}
 }
 
-// turnAway refuses a connection that was not entered.
-func (s *caller) turnAway(e *outcome.Error) {
+// reject refuses a connection that was not added to the sessions.
+func (s *caller) reject(e *outcome.Error) {
 	_ = s.raw.SetDeadline(time.Now().Add(s.srv.cfg.Limits.Startup))
 	s.be.Send(response(severityFatal, e))
 	_ = s.be.Flush()
 	s.close()
 }
 
-// flush writes what is buffered and reports whether the caller took it.
+// flush writes the buffered messages and reports whether that succeeded.
 func (s *caller) flush() bool {
 	if err := s.raw.SetWriteDeadline(time.Now().Add(s.srv.cfg.Limits.Message)); err != nil {
 		return false
@@ -226,6 +226,6 @@
 	return s.be.Flush() == nil
 }
 
-func (s *caller) holdsSecret(secret []byte) bool {
+func (s *caller) matchesSecret(secret []byte) bool {
 	return subtle.ConstantTimeCompare(s.secret, secret) == 1
 }
--- a/proxy/session_test.go
+++ b/proxy/session_test.go
@@ -18,8 +18,8 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// blockWriter opens a transaction straight at the primary, so that every write
-// through the proxy waits for its lock.
+// blockWriter opens a transaction directly at the primary, so that every write through the proxy
+// waits for its lock.
 func blockWriter(t *testing.T, cl *cluster) *pgx.Conn {
 	c, err := pgx.Connect(context.Background(), "postgres://direct@"+cl.servers[0].Addr()+"/ledger?sslmode=disable")
 	require.NoError(t, err)
@@ -70,8 +70,8 @@
 	require.Equal(t, 1, queryInt(t, mine, "SELECT count(*) FROM passes"))
 }
 
-// All slots of the primary are taken. A caller withdraws its request, which is
-// still queued: it hears "not run", and it did not.
+// All slots of the primary are taken. A caller cancels its request, which is still queued: it
+// receives "not-run", and the request did not run.
 func TestCancelOfAQueuedRequestIsNotRun(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	r := startProxy(t, cl)
@@ -132,8 +132,8 @@
 	require.Equal(t, []uint32{9<<nodeShift | 1}, forwarded)
 }
 
-// A proxy is replaced. Idle callers are told to go at once; a transaction that
-// is open goes on to its end, and a request in flight gets its answer.
+// A proxy drains. Idle callers are disconnected with an error at once; an open transaction
+// continues to its end, and a request in flight gets its answer.
 func TestDrainCutsNothing(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	r := startProxy(t, cl)
@@ -147,7 +147,7 @@
 	drained := make(chan error, 1)
 	go func() { drained <- r.Drain(context.Background()) }()
 	_, err := idle.PgConn().Conn().Read(make([]byte, 1))
-	require.NoError(t, err, "the idle caller is told why")
+	require.NoError(t, err, "the idle caller receives the reason")
 	exec(t, open, "SELECT 1")
 	exec(t, open, "COMMIT")
 	exec(t, lock, "ROLLBACK")
@@ -158,8 +158,8 @@
 	require.Error(t, err)
 }
 
-// A drain must end although a caller never finishes its transaction. The
-// transaction is rolled back and the caller told that it did not run.
+// A drain must end although a caller never finishes its transaction. The transaction is rolled
+// back, and the caller receives "not-run".
 func TestDrainEndsAForgottenTransaction(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	p := testProfile()
@@ -181,8 +181,8 @@
 	require.Empty(t, cl.committed(0))
 }
 
-// A caller opens a transaction and goes to lunch. It holds a scarce connection
-// and a slot, so it is ended and told so.
+// A caller opens a transaction and sends no further statement. The transaction holds a scarce
+// connection and a slot, so the proxy ends it and informs the caller.
 func TestIdleTransactionIsEnded(t *testing.T) {
 	r := startProxy(t, startCluster(t, dbd.Options{}), func(c *Config) {
 		c.Limits.IdleInTransaction = time.Millisecond
@@ -194,9 +194,8 @@
 	require.Equal(t, "not-run", r.last().Outcome)
 }
 
-// A target is leaving. New work goes elsewhere or waits; a transaction that is
-// open there goes on within the profile's grace, and is ended as "not run" when
-// the grace is over.
+// A target is draining. New requests use another target or wait; a transaction that is open there
+// continues within the profile's grace, and is ended as "not-run" when the grace is over.
 func TestDrainingTargetKeepsItsTransactionForTheGrace(t *testing.T) {
 	for _, grace := range []time.Duration{waitLimit, 0} {
 		cl := startCluster(t, dbd.Options{})
--- a/proxy/startup.go
+++ b/proxy/startup.go
@@ -27,9 +27,9 @@
 	paramReplication = "replication"
 )
 
-// parameters are reported at login. They do not change: session settings end
-// with each transaction.
-var parameters = map[string]string{
+// reportedParameters are sent at login. They never change, since session settings end with each
+// transaction.
+var reportedParameters = map[string]string{
 	"server_version":              "16.0 (endivemoor)",
 	"server_encoding":             "UTF8",
 	"client_encoding":             "UTF8",
@@ -40,8 +40,8 @@
 	"standard_conforming_strings": "on",
 }
 
-// login takes the caller from the first byte to the first ReadyForQuery, within
-// the startup time, and reports whether it is served.
+// login runs the startup, from the first byte to the first ReadyForQuery, within Limits.Startup,
+// and reports whether the session is established.
 func (s *caller) login() bool {
 	_ = s.raw.SetDeadline(time.Now().Add(s.srv.cfg.Limits.Startup))
 	start, oerr := s.negotiate()
@@ -49,18 +49,18 @@
 		return false
 	}
 	if oerr == nil {
-		oerr = s.admit(start)
+		oerr = s.authorize(start)
 	}
 	if oerr != nil {
 		s.srv.metrics.refusedStartup(oerr.Code)
-		s.fatal(oerr)
+		s.sendFatal(oerr)
 		return false
 	}
-	return s.welcome()
+	return s.completeLogin()
 }
 
-// negotiate reads up to the startup message. Both results are nil if the
-// connection served its purpose or the caller left.
+// negotiate reads up to the startup message. Both results are nil if the connection carried a
+// cancel request or failed.
 func (s *caller) negotiate() (*pgproto3.StartupMessage, *outcome.Error) {
 	for range maxNegotiations {
 		m, err := s.be.ReceiveStartupMessage()
@@ -86,17 +86,17 @@
 	return nil, refuse(outcome.CodeProtocolViolation, "too many encryption requests")
 }
 
-// startupRefusal answers garbage; a caller that left gets no answer. A health
-// check by the balancer connects and leaves, too.
+// startupRefusal returns the answer to a malformed startup message, or nil if the caller
+// disconnected, as a load balancer's health check does.
 func startupRefusal(err error) *outcome.Error {
-	if isGone(err) {
+	if isDisconnect(err) {
 		return nil
 	}
 	return readRefusal(err)
 }
 
-// startTLS answers an SSL request. Bytes that came before the handshake are
-// refused: they would be taken for encrypted ones (CVE-2021-23214).
+// startTLS answers an SSL request. Bytes received before the handshake are refused, since they
+// would be taken for encrypted ones (CVE-2021-23214).
 func (s *caller) startTLS() error {
 	if _, secured := s.raw.(*tls.Conn); s.srv.cfg.TLS == nil || secured {
 		_, err := s.raw.Write([]byte{'N'})
@@ -114,9 +114,9 @@
 	return nil
 }
 
-// admit checks who the caller is, and only then what it asks for: a stranger
-// learns nothing of groups and profiles.
-func (s *caller) admit(m *pgproto3.StartupMessage) *outcome.Error {
+// authorize authenticates the caller before it evaluates the request for a group and a profile, so
+// that an unauthenticated client learns nothing about them.
+func (s *caller) authorize(m *pgproto3.StartupMessage) *outcome.Error {
 	params, oerr := startupParams(m.Parameters)
 	if oerr != nil {
 		return oerr
@@ -129,14 +129,14 @@
 	if oerr := s.authenticate(user); oerr != nil {
 		return oerr
 	}
-	if oerr := s.choose(params); oerr != nil {
+	if oerr := s.selectGroupAndProfile(params); oerr != nil {
 		return oerr
 	}
-	return s.restore(params[paramToken])
+	return s.restoreWatermark(params[paramToken])
 }
 
-// choose finds the group and the profile that the caller names.
-func (s *caller) choose(params map[string]string) *outcome.Error {
+// selectGroupAndProfile looks up the group and the profile that the caller names.
+func (s *caller) selectGroupAndProfile(params map[string]string) *outcome.Error {
 	if params[paramReplication] != "" {
 		return refuse(codeNotSupported, "replication connections are not supported")
 	}
@@ -152,7 +152,7 @@
 	if p == nil {
 		return refuse(outcome.CodeInvalidParameter, "profile \""+params[paramProfile]+"\" is not published: set "+paramProfile)
 	}
-	if oerr := s.srv.enterProfile(s, p); oerr != nil {
+	if oerr := s.srv.addToProfile(s, p); oerr != nil {
 		return oerr
 	}
 	s.mu.Lock()
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// restore takes the watermark from the caller's token.
-func (s *caller) restore(token string) *outcome.Error {
+// restoreWatermark takes the session's watermark from the caller's token.
+func (s *caller) restoreWatermark(token string) *outcome.Error {
 	s.state.Marks = session.Marks{}
 	if token == "" {
 		return nil
@@ -177,9 +177,9 @@
 	return nil
 }
 
-func (s *caller) welcome() bool {
-	for _, name := range slices.Sorted(maps.Keys(parameters)) {
-		s.be.Send(&pgproto3.ParameterStatus{Name: name, Value: parameters[name]})
+func (s *caller) completeLogin() bool {
+	for _, name := range slices.Sorted(maps.Keys(reportedParameters)) {
+		s.be.Send(&pgproto3.ParameterStatus{Name: name, Value: reportedParameters[name]})
 	}
 	s.be.Send(&pgproto3.BackendKeyData{ProcessID: s.pid, SecretKey: s.secret})
 	s.be.Send(&pgproto3.ReadyForQuery{TxStatus: txIdle})
--- a/proxy/statements.go
+++ b/proxy/statements.go
@@ -17,7 +17,7 @@
 	return preparedSet{byName: map[string]*pgproto3.Parse{}}
 }
 
-func (st *preparedSet) keep(p *pgproto3.Parse) {
+func (st *preparedSet) add(p *pgproto3.Parse) {
 	st.drop(p.Name)
 	st.byName[p.Name] = p
 	st.bytes += len(p.Query)
@@ -30,10 +30,10 @@
 	}
 }
 
-// checkStatements refuses a chunk that could make the caller keep too much.
+// checkStatements refuses a chunk that could exceed the limits on prepared statements.
 //
-// Failure guarded against: a driver that prepares every statement under a new
-// name and closes none fills the proxy's memory, and hurts all other callers.
+// Failure guarded against: a driver that prepares every statement under a new name and closes none
+// fills the proxy's memory, which affects all other callers.
 func (s *caller) checkStatements(c *chunk) error {
 	count, bytes := len(s.stmts.byName), s.stmts.bytes
 	for _, m := range c.msgs {
@@ -48,20 +48,20 @@
 	return nil
 }
 
-// statements returns those that the chunk runs, or only prepares if it runs
-// none, in order. They are read once.
+// statements returns the statements that the chunk runs, in order, or those that it prepares if it
+// runs none. The result is cached in the chunk.
 func (s *caller) statements(c *chunk) []statement {
 	if c.read {
 		return c.statements
 	}
 	c.read = true
-	for _, t := range s.texts(c) {
+	for _, t := range s.statementTexts(c) {
 		c.statements = append(c.statements, newStatement(t))
 	}
 	return c.statements
 }
 
-func (s *caller) texts(c *chunk) []string {
+func (s *caller) statementTexts(c *chunk) []string {
 	var run, prepared []string
 	var local map[string]string
 	for _, m := range c.msgs {
--- a/proxy/status.go
+++ b/proxy/status.go
@@ -10,7 +10,7 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// statusQuery asks a target for its account of itself.
+// statusQuery returns the status report of a target.
 const statusQuery = "SELECT * FROM endivemoor_status()"
 
 // statusReader reads the answer to statusQuery.
@@ -19,12 +19,12 @@
 	row     map[string]string
 }
 
-// step returns the question as a step that the caller never sees.
+// step returns the status query as a step whose answer is not forwarded to the caller.
 func (r *statusReader) step() step {
-	return step{msg: &pgproto3.Query{String: statusQuery}, show: showNever, on: r.take}
+	return step{msg: &pgproto3.Query{String: statusQuery}, show: showNothing, onMessage: r.handleMessage}
 }
 
-func (r *statusReader) take(m pgproto3.BackendMessage) {
+func (r *statusReader) handleMessage(m pgproto3.BackendMessage) {
 	switch m := m.(type) {
 	case *pgproto3.RowDescription:
 		r.columns = nil
@@ -41,15 +41,15 @@
 	}
 }
 
-// answered reports whether the target gave an account.
+// answered reports whether the target returned a status report.
 func (r *statusReader) answered() bool { return r.row != nil }
 
 func (r *statusReader) status() (target.Status, error) {
-	var bad error
+	var firstErr error
 	number := func(name string) uint64 {
 		n, err := strconv.ParseUint(r.row[name], 10, 64)
-		if err != nil && bad == nil {
-			bad = errors.Wrapf(err, "status column %q", name)
+		if err != nil && firstErr == nil {
+			firstErr = errors.Wrapf(err, "status column %q", name)
 		}
 		return n
 	}
@@ -61,7 +61,7 @@
 		LSN:      timeline.LSN(number("lsn")),
 		Start:    timeline.LSN(number("start_lsn")),
 	}
-	return st, bad
+	return st, firstErr
 }
 
 func roleOf(name string) target.Role {
--- a/proxy/sweep.go
+++ b/proxy/sweep.go
@@ -6,21 +6,21 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// sweepEvery is how often the pool's idle connections are looked at. A target
-// that drains loses its idle connections within this time.
-const sweepEvery = time.Second
+// sweepInterval is the interval at which the pool's idle connections are checked. The idle
+// connections to a draining target are closed within this time.
+const sweepInterval = time.Second
 
-// sweeper is a pool that closes what the view no longer wants.
+// sweeper is a pool that closes idle connections that the view no longer calls for.
 type sweeper interface{ Sweep(v *view.View) }
 
-// sweep looks after the pool until stop is called.
+// sweep sweeps the pool periodically until stop is called.
 func (s *Server) sweep() (stop func()) {
 	p, ok := s.cfg.Pool.(sweeper)
 	if !ok {
 		return func() {}
 	}
 	done := make(chan struct{})
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	go func() {
 		defer tick.Stop()
 		for {
--- a/proxy/unit.go
+++ b/proxy/unit.go
@@ -13,11 +13,10 @@
 	"endivemoor.example/endivemoor/request"
 )
 
-// abandonTimeout bounds the attempt to stop a statement nobody waits for.
+// abandonTimeout bounds the attempt to stop a statement whose result is no longer needed.
 const abandonTimeout = 2 * time.Second
 
-// unit is one transaction's work on one leased connection. It is made anew for
-// each attempt.
+// unit is the work of one transaction on one leased connection. Each attempt uses a new one.
 type unit struct {
 	s     *caller
 	w     *work
@@ -25,25 +24,24 @@
 	lease *pool.Lease
 	// chunk is the part of the request that is being run.
 	chunk *chunk
-	// open says that the target has an open transaction of the caller's, and
-	// that the caller knows of it.
+	// open reports that the target has an open transaction of the caller, and that the caller has
+	// received the answer which opened it.
 	open bool
-	// prepared are the statements known to be on this connection.
+	// prepared holds the names of the statements that are prepared on this connection.
 	prepared map[string]bool
-	// keyed says that the request key's row was inserted.
+	// keyed reports that the insertion of the request key's row was sent.
 	keyed bool
-	// skipping is set after an error in a batch that is not closed yet.
+	// skipping is set after an error in a batch that has not ended yet.
 	skipping bool
-	// reset says that the connection's reset was sent along: nothing more can be
-	// asked on it.
+	// reset reports that the connection's reset was sent along: no further query can be sent on it.
 	reset bool
-	// flushed says that an earlier part of the batch was closed by a Flush.
+	// flushed reports that an earlier part of the batch ended with a Flush.
 	flushed bool
-	// status answers what was asked along with the last chunk.
+	// status reads the answer to the status query that was sent along with the last chunk.
 	status statusReader
-	// drainSeen is when the server was first seen to drain; 0 is never.
+	// drainSeen is when the server was first seen draining; 0 means never.
 	drainSeen clock.Time
-	// ran and committed are what the command tags tell.
+	// ran and committed are derived from the command tags.
 	ran, committed bool
 }
 
@@ -51,15 +49,15 @@
 type work struct {
 	s     *caller
 	chunk *chunk
-	// current is the chunk that the caller waits for an answer to.
+	// current is the chunk whose answer the caller is waiting for.
 	current *chunk
 }
 
 // Run implements filter.Work.
 func (w *work) Run(_ context.Context, r *filter.Request, l *pool.Lease) *filter.Failure {
 	s := w.s
-	s.own(l)
-	defer s.disown()
+	s.setLease(l)
+	defer s.clearLease()
 	s.answer.reset()
 	u := &unit{s: s, w: w, r: r, lease: l, chunk: w.chunk, prepared: map[string]bool{}}
 	if r.Keyed() && !r.Explicit {
@@ -68,8 +66,7 @@
 	return u.run()
 }
 
-// run goes through the chunks of the transaction, the last answer of which is
-// kept back for the gate.
+// run runs the chunks of the transaction. The answer to the last one is withheld for the gate.
 func (u *unit) run() *filter.Failure {
 	for {
 		status, fail := u.runChunk()
@@ -77,80 +74,81 @@
 			return fail
 		}
 		if status == txIdle {
-			return u.conclude()
+			return u.findPosition()
 		}
-		if fail := u.next(status); fail != nil {
+		if fail := u.nextChunk(status); fail != nil {
 			return fail
 		}
 	}
 }
 
-// runChunk runs one chunk and returns the transaction status after it; 0 means
-// that the batch goes on after a Flush.
+// runChunk runs one chunk and returns the transaction status after it; 0 means that the batch
+// continues after a Flush.
 func (u *unit) runChunk() (byte, *filter.Failure) {
-	if u.open && u.wantsKey() {
+	if u.open && u.needsKey() {
 		if conflict, fail := u.insertKey(); conflict || fail != nil {
 			return txFailed, fail
 		}
 	}
 	x := newExchange(u.lease, u.s.put)
-	x.anyAnswer = u.out(GuardStray)
+	x.allowStray = u.disabled(GuardStray)
 	u.plan(x)
 	u.r.Resolvable = u.commitsAlone()
 	if err := u.exchange(x, request.StepSent); err != nil {
-		return 0, u.lost(err)
+		return 0, u.exchangeFailed(err)
 	}
-	if fail := u.fenced(x); fail != nil {
+	if fail := u.checkFenced(x); fail != nil {
 		return 0, fail
 	}
 	if u.reset && x.status != txIdle {
-		return 0, u.lost(errStray)
+		return 0, u.exchangeFailed(errStray)
 	}
-	u.learn(x)
+	u.applyCommandTags(x)
 	u.flushed = u.flushed || u.chunk.end == endFlush
 	u.skipping = u.chunk.end == endFlush && (u.skipping || x.failure != nil)
-	if !u.open && x.status == txOpen && u.wantsKey() {
+	if !u.open && x.status == txOpen && u.needsKey() {
 		return u.insertOpeningKey()
 	}
 	return x.status, nil
 }
 
-// exchange passes step s, runs x within the deadline and reports to the board.
+// exchange passes step s, runs x within the deadline and reports the result to the tracker.
 func (u *unit) exchange(x *exchange, s request.Step) error {
 	r := u.r
 	r.Machine.Pass(s)
 	start := r.Clock.Now()
 	until := time.Now().Add(r.Deadline.Sub(start))
-	u.s.answer.until = until
+	u.s.answer.deadline = until
 	if err := u.lease.SetDeadline(until); err != nil {
 		return err
 	}
-	board := u.s.srv.cfg.Board
-	board.Begin(r.Server.ID, start)
+	tracker := u.s.srv.cfg.Board
+	tracker.Begin(r.Server.ID, start)
 	err := x.run()
 	now := r.Clock.Now()
-	board.End(r.Server.ID, now, now.Sub(start), err != nil && !isOurs(err))
+	tracker.End(r.Server.ID, now, now.Sub(start), err != nil && !notTargetFailure(err))
 	if err == nil {
 		r.Machine.Pass(request.StepExecuted)
 	}
 	return err
 }
 
-// isOurs reports whether an exchange was ended by the proxy or its caller, so
-// that it says nothing of the target.
-func isOurs(err error) bool {
-	return errors.Is(err, errCopy) || errors.Is(err, errCallerGone) || errors.Is(err, errAnswerTooLarge)
+// notTargetFailure reports whether the proxy or its caller ended an exchange, so that the error
+// says nothing about the target.
+func notTargetFailure(err error) bool {
+	return errors.Is(err, errCopy) || errors.Is(err, errCallerDisconnected) || errors.Is(err, errAnswerTooLarge)
 }
 
-// lost turns a broken exchange into a failure. What was sent may have run.
-func (u *unit) lost(err error) *filter.Failure {
+// exchangeFailed turns a failed exchange into a failure of the request. The messages sent may have
+// taken effect.
+func (u *unit) exchangeFailed(err error) *filter.Failure {
 	if u.s.answer.streamed {
 		u.r.Machine.Forwarded()
 	}
 	u.lease.Abandon(abandonTimeout)
 	f := &filter.Failure{Cause: request.FailureLost, Fatal: u.open}
 	switch {
-	case errors.Is(err, errCallerGone):
+	case errors.Is(err, errCallerDisconnected):
 		f.Gone = true
 		f.Cause = request.FailureCanceled
 		f.Err = outcome.Lost(0, "the caller left")
@@ -162,20 +160,20 @@
 		f.Err = &outcome.Error{Code: outcome.CodeProgramLimit, Message: err.Error()}
 	case isTimeout(err):
 		f.Cause = request.FailureDeadline
-		f.Err = outcome.Lost(comeBack, "no answer from %s before the deadline", u.r.Server.ID)
+		f.Err = outcome.Lost(retryAfter, "no answer from %s before the deadline", u.r.Server.ID)
 	default:
-		f.Err = outcome.Lost(comeBack, "the connection to %s was lost: %v", u.r.Server.ID, err)
+		f.Err = outcome.Lost(retryAfter, "the connection to %s was lost: %v", u.r.Server.ID, err)
 	}
 	return f
 }
 
-// fenced finds out whether an error means that the server is not, or no more,
-// the primary of the term that the request was sent under.
+// checkFenced detects an error which shows that the server is not, or no longer, the primary of the
+// term under which the request was sent.
 //
-// Failure guarded against: the view is stale, and a caller is told "read-only"
-// by a server that the proxy should not have sent it to. The server's own
-// refusal proves that nothing ran: it came before any statement had completed.
-func (u *unit) fenced(x *exchange) *filter.Failure {
+// Failure guarded against: the view is outdated, and a caller receives a "read-only" error from a
+// server that the proxy should not have sent its request to. The server's own refusal proves that
+// nothing ran, since it came before any statement had completed.
+func (u *unit) checkFenced(x *exchange) *filter.Failure {
 	if x.failure == nil || u.open || len(x.tags) > 0 || !u.r.OnPrimary() || !u.status.answered() {
 		return nil
 	}
@@ -189,51 +187,51 @@
 	}
 	return &filter.Failure{
 		Cause: request.FailureFenced,
-		Err: outcome.Refuse(outcome.CodeCannotConnectNow, comeBack,
+		Err: outcome.Refuse(outcome.CodeCannotConnectNow, retryAfter,
 			"server %s is not the primary of term %d", u.r.Server.ID, u.r.Term),
 	}
 }
 
-// next hands the chunk's answer to the caller and reads the next one.
-func (u *unit) next(status byte) *filter.Failure {
+// nextChunk sends the chunk's answer to the caller and reads the next chunk.
+func (u *unit) nextChunk(status byte) *filter.Failure {
 	if u.committed {
-		return u.chained()
+		return u.refuseChained()
 	}
 	u.r.Machine.Forwarded()
 	if !u.forward(status) {
-		return u.lost(errCallerGone)
+		return u.exchangeFailed(errCallerDisconnected)
 	}
 	if status != 0 {
 		u.open = true
 	}
-	if fail := u.overstays(); fail != nil {
+	if fail := u.checkDrainGrace(); fail != nil {
 		return fail
 	}
 	c, err := u.s.readChunk(awaitStatement)
 	if err != nil {
-		return u.withdrawn(err)
+		return u.callerReadFailed(err)
 	}
 	u.chunk, u.w.current = c, c
 	u.r.Extend(u.r.Clock.Now())
-	return u.adopt()
+	return u.applyTags()
 }
 
-// adopt takes what the statements of an open transaction say of its kind and
-// key, if BEGIN said nothing.
-func (u *unit) adopt() *filter.Failure {
+// applyTags applies the kind and key in the tags of an open transaction's statements, if BEGIN set
+// none.
+func (u *unit) applyTags() *filter.Failure {
 	tags, oerr := readTags(u.s.statements(u.chunk))
 	if oerr != nil {
-		return u.breakOff(oerr)
+		return u.abort(oerr)
 	}
 	for _, t := range tags {
-		if oerr := u.adoptTag(t); oerr != nil {
-			return u.breakOff(oerr)
+		if oerr := u.applyTag(t); oerr != nil {
+			return u.abort(oerr)
 		}
 	}
 	return nil
 }
 
-func (u *unit) adoptTag(t filter.Tag) *outcome.Error {
+func (u *unit) applyTag(t filter.Tag) *outcome.Error {
 	kind := u.r.Session.Profile.KindOf(t.Kind)
 	switch {
 	case kind == nil:
--- a/proxy/users.go
+++ b/proxy/users.go
@@ -14,7 +14,7 @@
 	verifierPrefix = "SCRAM-SHA-256$"
 	// keyLen is the length of SHA-256 keys, in bytes.
 	keyLen = 32
-	// minIterations is what clients accept at least (RFC 7677).
+	// minIterations is the lowest iteration count that clients accept (RFC 7677).
 	minIterations = 4096
 )
 
@@ -28,7 +28,7 @@
 }
 
 // ParseVerifier reads PostgreSQL's stored form of a password,
-// "SCRAM-SHA-256$<iterations>:<salt>$<stored key>:<server key>", base64 each.
+// "SCRAM-SHA-256$<iterations>:<salt>$<stored key>:<server key>", with the salt and keys in base64.
 func ParseVerifier(s string) (scram.StoredCredentials, error) {
 	var c scram.StoredCredentials
 	rest, ok := strings.CutPrefix(s, verifierPrefix)
--- a/proxy/wait.go
+++ b/proxy/wait.go
@@ -8,41 +8,42 @@
 	"endivemoor.example/endivemoor/pool"
 )
 
-// shuttingDown is the answer of a proxy that drains. The request did not run:
-// the caller may ask another proxy at once.
+// shuttingDown returns the error of a draining proxy. The request did not run, so the caller may
+// retry at another proxy at once.
 func shuttingDown() *outcome.Error {
 	return outcome.Refuse(outcome.CodeAdminShutdown, time.Millisecond, "this proxy is shutting down")
 }
 
-// beginWait notes what the session waits for, and returns until when. It
-// reports false if the session is to end instead.
-func (s *caller) beginWait(w waitFor, fresh bool) (time.Time, bool) {
+// beginWait records what the session waits for and returns the read deadline. It reports false if
+// the session is to end instead.
+func (s *caller) beginWait(w waitState, newChunk bool) (time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !fresh {
+	if !newChunk {
 		return time.Now().Add(s.srv.cfg.Limits.Message), true
 	}
 	if s.draining && w == awaitRequest && !s.skipping {
 		return time.Time{}, false
 	}
-	s.waits = w
+	s.waiting = w
 	return s.waitLimit(w), true
 }
 
-func (s *caller) waitLimit(w waitFor) time.Time {
+func (s *caller) waitLimit(w waitState) time.Time {
 	if w != awaitStatement {
 		return time.Time{}
 	}
 	limit := time.Now().Add(s.srv.cfg.Limits.IdleInTransaction)
-	if s.draining && s.grace.Before(limit) {
-		return s.grace
+	if s.draining && s.graceDeadline.Before(limit) {
+		return s.graceDeadline
 	}
 	return limit
 }
 
-// drainMissed closes the gap between beginWait and the setting of the read
-// deadline, in which a drain may have set its own.
-func (s *caller) drainMissed(w waitFor) bool {
+// drainStarted reports whether the session is to end because of a drain that began between
+// beginWait and the setting of the read deadline, which overwrote the drain's own. For an open
+// transaction it sets the drain's deadline again.
+func (s *caller) drainStarted(w waitState) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.draining || s.skipping {
@@ -58,7 +59,7 @@
 func (s *caller) setBusy() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.waits = busy
+	s.waiting = busy
 }
 
 func (s *caller) isDraining() bool {
@@ -67,17 +68,17 @@
 	return s.draining
 }
 
-// drain ends the session if it waits for a request, and gives an open
-// transaction its grace. Others see the mark when their request has ended.
+// drain ends the session if it waits for a request, and gives an open transaction its grace. A busy
+// session checks draining when its request ends.
 func (s *caller) drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
-	s.grace = time.Now()
+	s.graceDeadline = time.Now()
 	if p := s.state.Profile; p != nil {
-		s.grace = s.grace.Add(p.DrainGrace)
+		s.graceDeadline = s.graceDeadline.Add(p.DrainGrace)
 	}
-	switch s.waits {
+	switch s.waiting {
 	case awaitRequest:
 		_ = s.raw.SetReadDeadline(time.Now())
 	case awaitStatement:
@@ -85,8 +86,8 @@
 	}
 }
 
-// begin makes a request's context. Until own is called a cancel request ends
-// it; afterwards the statement itself is canceled.
+// begin creates a request's context. Until setLease is called a cancel request cancels the context;
+// afterwards it cancels the statement.
 func (s *caller) begin() (context.Context, context.CancelFunc) {
 	ctx, stop := context.WithCancel(context.Background())
 	s.mu.Lock()
@@ -95,21 +96,21 @@
 	return ctx, stop
 }
 
-// own makes the lease the one that a cancel request goes to.
-func (s *caller) own(l *pool.Lease) {
+// setLease makes the lease the target of cancel requests.
+func (s *caller) setLease(l *pool.Lease) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lease, s.abort = l, nil
 }
 
-func (s *caller) disown() {
+func (s *caller) clearLease() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lease = nil
 }
 
-// cancel stops the session's own request, wherever it is. The lock is not held
-// while the target is asked; a lease that ended meanwhile refuses.
+// cancel stops the session's own request, whether it is queued or running. The lock is not held
+// during the call to the target; a lease that has ended in the meantime refuses.
 func (s *caller) cancel(ctx context.Context) {
 	s.mu.Lock()
 	lease, abort := s.lease, s.abort
