--- a/controller/duty_test.go
+++ b/controller/assignment_test.go
@@ -18,18 +18,18 @@
 	return out
 }
 
-// Every VM works its duties out for itself. If two VMs with the same members
-// disagreed, a group would be watched by nobody and its dead primary stay.
-func TestEveryGroupHasProbersInSeveralZonesThatKnowIt(t *testing.T) {
+// Every VM computes its assignment on its own. If two VMs with the same members disagreed, a group
+// could be left without probers, and a dead primary would not be replaced.
+func TestVMsAgreeOnTheProbersOfEveryGroup(t *testing.T) {
 	vms := fleet(9, 3)
 	for g := range 50 {
 		group := fmt.Sprintf("group-%d", g)
 		zones := map[string]bool{}
 		probers := 0
 		for _, vm := range vms {
-			d := NewDuty(vm)
-			d.Update(vms)
-			if d.Probes(group) {
+			a := NewDuty(vm)
+			a.Update(vms)
+			if a.Probes(group) {
 				probers++
 				zones[vm.Zone] = true
 			}
@@ -39,17 +39,17 @@
 	}
 }
 
-// The fleet grows from 9 to 900 VMs. Were every VM to watch the store, the
-// waiting calls alone would take its whole rate.
+// The fleet grows from 9 to 900 VMs. If every VM watched the store, the waiting calls alone would
+// use up the store's rate limit.
 func TestStoreWatchersDoNotGrowWithTheFleet(t *testing.T) {
 	for _, n := range []int{9, 900} {
 		watchers := 0
 		vms := fleet(n, 3)
-		d := NewDuty(vms[0])
-		d.Update(vms)
+		a := NewDuty(vms[0])
+		a.Update(vms)
 		for _, vm := range vms {
 			one := &Duty{self: vm.ID}
-			one.ring.Store(d.ring.Load())
+			one.ring.Store(a.ring.Load())
 			if one.Watches() {
 				watchers++
 			}
@@ -58,9 +58,10 @@
 	}
 }
 
-// The fleet grows from 9 to 2,900 VMs. Were every VM to read the list as often
-// as a watcher, that alone would be 580 calls a second. All together they stay
-// within the share, and no VM waits longer than its peers' word keeps others live.
+// The fleet grows from 9 to 2,900 VMs. If every VM read the VM list as often as a watcher does,
+// the reads would amount to 580 calls a second. All VMs together must stay within their share of
+// the budget, and no VM may wait longer than membership considers others live on peers' reports
+// alone.
 func TestReadsOfTheVMListStayWithinTheirShare(t *testing.T) {
 	for _, n := range []int{3, 9, 27, 900, 2900} {
 		vms := fleet(n, 6)
@@ -73,7 +74,7 @@
 			one.live.Store(int64(n))
 			perSecond += 1 / one.ListInterval(true).Seconds()
 			require.Less(t, one.ListInterval(true), 2*time.Minute)
-			require.GreaterOrEqual(t, one.ListInterval(false), listEvery, "also while the store is down")
+			require.GreaterOrEqual(t, one.ListInterval(false), listInterval, "also while the store is down")
 		}
 		require.Less(t, perSecond, 33.0, "%d VMs", n)
 	}
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -13,7 +13,7 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// Published is one published set of profiles as it travels.
+// Published is one published set of profiles in the form that the store and peers send it.
 type Published struct {
 	Generation profile.Generation
 	Digest     string
@@ -24,7 +24,7 @@
 	return publication.Version{Generation: p.Generation, Digest: p.Digest}
 }
 
-// Configuration holds the newest published set that this VM knows and puts it
+// Configuration holds the newest published set of profiles that this VM has received and puts it
 // in force. It is the only writer of view.View.Profiles.
 type Configuration struct {
 	views *view.Holder
@@ -35,7 +35,7 @@
 	since   time.Time
 }
 
-// NewConfiguration returns a holder of nothing.
+// NewConfiguration returns a Configuration without a set.
 func NewConfiguration(views *view.Holder, log *zap.Logger) *Configuration {
 	return &Configuration{views: views, log: log}
 }
@@ -47,27 +47,27 @@
 	return c.current
 }
 
-// Since returns by the wall clock when the set in force was put in force here.
-// It is for operators; nothing is decided by it.
+// Since returns the wall-clock time at which this VM put the current set in force. It is
+// informational: no decision depends on it.
 func (c *Configuration) Since() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.since
 }
 
-// Offer puts p in force if publication.Accept takes it, and reports if it did.
-// The source may be the store or any peer.
+// Offer puts p in force if publication.Accept accepts it, and reports whether it did. source names
+// the origin in logs: the store or a peer.
 //
-// Failure guarded against: a daemon that was paused for an hour, or a peer that
-// restarted during an outage, offers an older set, and a retired profile comes
-// back. Generations only grow, and the text must match the digest that the
-// store's pointer named, so a damaged copy is never put in force.
+// Failure guarded against: a daemon that was paused for an hour, or a peer that restarted during
+// an outage, offers an older set, and a retired profile is in force again. Generations only grow,
+// and the text must match the digest that the store's pointer names, so a damaged copy is never
+// put in force.
 func (c *Configuration) Offer(p Published, source string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch publication.Accept(c.current.version(), p.version()) {
 	case publication.Take:
-		return c.take(p, source)
+		return c.apply(p, source)
 	case publication.Forked:
 		c.log.Error("configuration_forked",
 			zap.Uint64("generation", uint64(p.Generation)), zap.String("digest", p.Digest), zap.String("source", source))
@@ -75,7 +75,7 @@
 	return false
 }
 
-func (c *Configuration) take(p Published, source string) bool {
+func (c *Configuration) apply(p Published, source string) bool {
 	set, err := c.parse(p)
 	if err != nil {
 		c.log.Error("configuration_refused",
@@ -91,7 +91,7 @@
 
 func (c *Configuration) parse(p Published) (*profile.Set, error) {
 	if profile.Digest(p.Text) != p.Digest {
-		return nil, finding.Findings{{Message: "text does not match its digest", Mend: "publish again"}}
+		return nil, finding.Findings{{Message: "digest of the received profile text differs from the published digest", Mend: "publish the profiles again"}}
 	}
 	set, found := inifile.Parse("published", p.Text)
 	if err := found.Err(); err != nil {
--- a/controller/doc.go
+++ b/controller/doc.go
@@ -1,14 +1,16 @@
-// Package controller drives the decision core: each controller is the one
-// writer of one piece of state, takes events from sockets, the store and
-// peers, steps its pure machine, and carries the returned actions out.
+// Package controller drives the state machines that make the control decisions. Each controller is
+// the only writer of one piece of state: it receives events from sockets, the store and peers, steps
+// a machine that does no I/O, and executes the actions that the machine returns. The decisions
+// themselves are made in the packages of the machines, such as failover and membership.
 //
-//	Group      one database group's failover.Machine (view.Group)
-//	Watcher    what the store says of groups, profiles and drains
-//	Exchange   what peers say, and which VMs are live (membership.Machine)
-//	Fleet      which configuration each VM has in force, by its own word
-//	Gate       when a write may be acknowledged (ack), read by requests
+//	Group      the failover.Machine of one database group (view.Group)
+//	Watcher    changes of groups, profiles and drain marks in the store
+//	Exchange   messages from peers, and the live VMs (membership.Machine)
+//	Fleet      the configuration that each VM reports to have in force
+//	Gate       when a write may be acknowledged (package ack)
 //	Journal    the audit trail, queued while the store is down
 //
-// Requests never call a controller; they read the view that controllers swap
-// in. The one exception is Gate, which a write waits for.
+// Manager starts and stops the Group controllers of a VM; begin reading there. Requests do not call
+// controllers but read the view that controllers publish. The exception is Gate, for which a write
+// waits before it is acknowledged.
 package controller
--- a/controller/drains.go
+++ b/controller/drains.go
@@ -11,9 +11,9 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// Drains knows which targets leave. It is the only writer of view.View.Draining.
-// The store's watchers bring marks in, and peers pass them on: most VMs do not
-// watch the store, and a target that leaves must get no new work from any.
+// Drains holds the drain state of targets. It is the only writer of view.View.Draining. The VMs
+// that watch the store read the drain marks and peers forward them, because most VMs do not watch
+// the store, and no VM may send new work to a draining target.
 type Drains struct {
 	views *view.Holder
 	log   *zap.Logger
@@ -22,20 +22,20 @@
 	marks map[target.ID]mark
 }
 
-// mark is what is known of one target, as of a revision of the store.
+// mark is the drain state of one target as of a revision of the store.
 type mark struct {
 	draining bool
 	revision int64
 }
 
-// NewDrains returns a holder that knows of no drain.
+// NewDrains returns a Drains without any mark.
 func NewDrains(views *view.Holder, log *zap.Logger) *Drains {
 	return &Drains{views: views, log: log, marks: map[target.ID]mark{}}
 }
 
-// Offer takes what a watcher or a peer says of a target, and reports if that
-// changed whether the target takes work. An older revision changes nothing, so
-// a late peer cannot bring a drain back that was ended.
+// Offer records the drain state of a target that a watcher or a peer reports, and reports whether
+// the target's state changed. A revision that is not newer than the recorded one is ignored, so an
+// outdated peer cannot restore a drain that has ended.
 func (d *Drains) Offer(id target.ID, draining bool, revision int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,7 +64,7 @@
 	})
 }
 
-// messages returns what is known, for peers.
+// messages returns the recorded states as messages to peers.
 func (d *Drains) messages() []*peerpb.Drain {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/controller/evidence.go
+++ b/controller/evidence.go
@@ -9,35 +9,36 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// Evidence keeps, for each server, the newest good answer that this VM had
-// itself. It answers peers that ask; hearsay never enters it.
+// Evidence holds, for each server, the newest successful status reply that this VM received
+// itself. Queries from peers are answered from it. Cached statuses that other VMs obtained are
+// never added.
 type Evidence struct {
 	mu   sync.RWMutex
 	good map[target.ID]control.Answer
-	// began is when the first ask of a server ended, and ended when the newest
-	// did, with or without an answer.
-	began, ended map[target.ID]clock.Time
+	// firstEnded is when the first status query to a server ended, and lastEnded when the newest
+	// one did, with or without a reply.
+	firstEnded, lastEnded map[target.ID]clock.Time
 }
 
-// NewEvidence returns an empty store.
+// NewEvidence returns an empty Evidence.
 func NewEvidence() *Evidence {
-	return &Evidence{good: map[target.ID]control.Answer{}, began: map[target.ID]clock.Time{}, ended: map[target.ID]clock.Time{}}
+	return &Evidence{good: map[target.ID]control.Answer{}, firstEnded: map[target.ID]clock.Time{}, lastEnded: map[target.ID]clock.Time{}}
 }
 
-// Add takes the result of one ask.
+// Add records the result of one status query.
 func (e *Evidence) Add(id target.ID, a control.Answer, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, ok := e.began[id]; !ok {
-		e.began[id] = a.Answered
+	if _, ok := e.firstEnded[id]; !ok {
+		e.firstEnded[id] = a.Answered
 	}
-	e.ended[id] = max(e.ended[id], a.Answered)
+	e.lastEnded[id] = max(e.lastEnded[id], a.Answered)
 	if err == nil && !a.Asked.Before(e.good[id].Asked) {
 		e.good[id] = a
 	}
 }
 
-// Newest returns the newest good answer of a server.
+// Newest returns the newest successful reply of a server.
 func (e *Evidence) Newest(id target.ID) (control.Answer, bool) {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
@@ -45,19 +46,20 @@
 	return a, ok
 }
 
-// AskedSince reports whether an ask of the server ended at t or later.
+// QueriedSince reports whether a status query to the server ended at t or later.
 func (e *Evidence) AskedSince(id target.ID, t clock.Time) bool {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
-	at, ok := e.ended[id]
+	at, ok := e.lastEnded[id]
 	return ok && !at.Before(t)
 }
 
-// WatchedFor returns how long ago the first ask of a server ended.
+// WatchedFor returns the time since the first status query to a server ended, or 0 if none has
+// ended.
 func (e *Evidence) WatchedFor(id target.ID, now clock.Time) time.Duration {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
-	at, ok := e.began[id]
+	at, ok := e.firstEnded[id]
 	if !ok {
 		return 0
 	}
--- a/controller/exchange.go
+++ b/controller/exchange.go
@@ -22,44 +22,46 @@
 )
 
 const (
-	// exchangeTimeout bounds one call to a peer.
+	// exchangeTimeout limits one call to a peer.
 	exchangeTimeout = 800 * time.Millisecond
-	// relayTo is how many peers hear at once of news that this VM just heard.
-	relayTo = 4
+	// relayFanout is the number of peers to which this VM forwards an update as soon as it
+	// receives it.
+	relayFanout = 4
 )
 
-// Exchange drives membership.Machine and carries news between peers: groups'
-// terms and the configuration. It is the only writer of the machine.
+// Exchange drives membership.Machine and exchanges updates with peers: the terms of groups, drain
+// states and the configuration. It is the only caller of the machine.
 type Exchange struct {
-	clk     clock.Clock
-	views   *view.Holder
-	config  *Configuration
-	clients *peer.Clients
-	store   store.Store
-	duty    *Duty
-	drains  *Drains
-	fleet   *Fleet
-	log     *zap.Logger
-	// onGroup is told of every group state that a peer sent.
+	clk        clock.Clock
+	views      *view.Holder
+	config     *Configuration
+	clients    *peer.Clients
+	store      store.Store
+	assignment *Duty
+	drains     *Drains
+	fleet      *Fleet
+	log        *zap.Logger
+	// onGroup is called with every group state that a peer sends.
 	onGroup func(*view.Group)
-	// onDrain is told of every drain that a peer knows.
+	// onDrain is called with every drain state that a peer sends.
 	onDrain func(id target.ID, draining bool, revision int64)
-	// onChange is told of every change of the live VMs.
+	// onChange is called with the live VMs whenever they change.
 	onChange func(live []membership.VM)
 
 	mu      sync.Mutex
 	machine *membership.Machine
 	rng     *rand.Rand
-	// groups is the newest view's; turn is the place among them of the next that
-	// goes to a peer that knows others.
-	groups knownGroups
-	turn   int
-	// changed is when a group last got a new term here, and terms which one.
+	// index describes the groups of the newest view. rotation is the position in it of the group
+	// that was last sent to a peer whose groups differ.
+	index    groupIndex
+	rotation int
+	// changed is when this VM last saw a new term of a group, and terms is the newest term of each
+	// group that it has seen.
 	changed map[string]clock.Time
 	terms   map[string]timeline.Term
 }
 
-// ExchangeConfig is what NewExchange needs.
+// ExchangeConfig holds the dependencies of an Exchange.
 type ExchangeConfig struct {
 	Clock    clock.Clock
 	Views    *view.Holder
@@ -76,19 +78,19 @@
 	Rand     *rand.Rand
 }
 
-// NewExchange returns the controller.
+// NewExchange returns an Exchange that has discovered no peer yet.
 func NewExchange(c ExchangeConfig) *Exchange {
 	return &Exchange{
-		clk: c.Clock, views: c.Views, config: c.Config, clients: c.Clients, store: c.Store, duty: c.Duty, drains: c.Drains, onDrain: c.OnDrain,
+		clk: c.Clock, views: c.Views, config: c.Config, clients: c.Clients, store: c.Store, assignment: c.Duty, drains: c.Drains, onDrain: c.OnDrain,
 		log: c.Log, onGroup: c.OnGroup, onChange: c.OnChange, machine: c.Machine, rng: c.Rand,
 		changed: map[string]clock.Time{}, terms: map[string]timeline.Term{},
 		fleet: NewFleet(c.Clock, c.Machine.Self().VM.ID),
 	}
 }
 
-// Run ticks the machine and reads the VM list until ctx ends.
+// Run ticks the machine at the given interval, and reads the VM list, until ctx ends.
 func (x *Exchange) Run(ctx context.Context, interval time.Duration) {
-	go x.readLists(ctx)
+	go x.pollVMList(ctx)
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -101,15 +103,15 @@
 	}
 }
 
-// Leave tells peers that this VM drains.
+// Leave reports to some peers that this VM is shutting down.
 func (x *Exchange) Leave(ctx context.Context) {
 	x.step(ctx, membership.Leave{})
-	for _, vm := range x.some(relayTo) {
+	for _, vm := range x.randomPeers(relayFanout) {
 		x.exchangeWith(ctx, vm)
 	}
 }
 
-func (x *Exchange) readLists(ctx context.Context) {
+func (x *Exchange) pollVMList(ctx context.Context) {
 	for ctx.Err() == nil {
 		vms, err := x.store.VMs(ctx)
 		if err != nil {
@@ -118,7 +120,7 @@
 			x.fleet.List(vms)
 			x.step(ctx, membership.Listed{VMs: vms})
 		}
-		wait.For(ctx, x.duty.ListInterval(err == nil))
+		wait.For(ctx, x.assignment.ListInterval(err == nil))
 	}
 }
 
@@ -137,15 +139,15 @@
 	}
 }
 
-// Live returns the VMs believed to be live, this one included.
+// Live returns the VMs that are considered live, including this one.
 func (x *Exchange) Live() []membership.VM {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return slices.Clone(x.machine.Live())
 }
 
-// Fleet returns what each VM of the fleet has in force, this one included, as
-// far as is known here.
+// Fleet returns the configuration that each VM has in force, this one included, as last reported
+// to this VM.
 func (x *Exchange) Fleet() []FleetVM {
 	x.mu.Lock()
 	self := x.machine.Self()
@@ -154,7 +156,7 @@
 	return append([]FleetVM{own}, x.fleet.VMs()...)
 }
 
-// exchangeWith pushes what this VM knows and takes in what comes back.
+// exchangeWith sends this VM's state to a peer and merges the peer's reply.
 func (x *Exchange) exchangeWith(ctx context.Context, vm membership.VM) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -163,10 +165,10 @@
 		x.step(ctx, membership.Unanswered{ID: vm.ID})
 		return
 	}
-	x.takeMembers(ctx, reply.GetReceiver(), reply.GetMembers())
-	x.takeGroups(reply.GetGroups())
-	x.takeDrains(reply.GetDrains())
-	x.takeConfiguration(reply.GetConfiguration(), vm.ID)
+	x.mergeMembers(ctx, reply.GetReceiver(), reply.GetMembers())
+	x.mergeGroups(reply.GetGroups())
+	x.mergeDrains(reply.GetDrains())
+	x.mergeConfiguration(reply.GetConfiguration(), vm.ID)
 	x.pushConfiguration(ctx, vm, reply.GetGeneration())
 }
 
@@ -185,7 +187,7 @@
 
 func (x *Exchange) request() *peerpb.ExchangeRequest {
 	self, others := x.members()
-	groups, digest := x.news()
+	groups, digest := x.recentGroups()
 	return &peerpb.ExchangeRequest{
 		Sender:       self,
 		Members:      others,
@@ -200,10 +202,10 @@
 // OnExchange implements peer.Handler.
 func (x *Exchange) OnExchange(_ context.Context, in *peerpb.ExchangeRequest) *peerpb.ExchangeReply {
 	ctx := context.Background()
-	x.takeMembers(ctx, in.GetSender(), in.GetMembers())
-	x.takeGroups(in.GetGroups())
-	x.takeDrains(in.GetDrains())
-	x.takeConfiguration(in.GetConfiguration(), in.GetSender().GetVm())
+	x.mergeMembers(ctx, in.GetSender(), in.GetMembers())
+	x.mergeGroups(in.GetGroups())
+	x.mergeDrains(in.GetDrains())
+	x.mergeConfiguration(in.GetConfiguration(), in.GetSender().GetVm())
 	self, others := x.members()
 	current := x.config.Current()
 	reply := &peerpb.ExchangeReply{Receiver: self, Members: others, Groups: x.answerGroups(in), Drains: x.drains.messages(), Generation: uint64(current.Generation)}
@@ -217,7 +219,7 @@
 	return &peerpb.Configuration{Generation: uint64(p.Generation), Digest: p.Digest, Text: p.Text}
 }
 
-func (x *Exchange) takeConfiguration(in *peerpb.Configuration, from string) {
+func (x *Exchange) mergeConfiguration(in *peerpb.Configuration, from string) {
 	if in == nil {
 		return
 	}
@@ -227,35 +229,36 @@
 	}
 }
 
-func (x *Exchange) takeDrains(in []*peerpb.Drain) {
+func (x *Exchange) mergeDrains(in []*peerpb.Drain) {
 	for _, d := range in {
 		x.onDrain(target.ID(d.GetTarget()), d.GetDraining(), d.GetRevision())
 	}
 }
 
-func (x *Exchange) takeGroups(in []*peerpb.GroupState) {
-	news := false
+func (x *Exchange) mergeGroups(in []*peerpb.GroupState) {
+	updated := false
 	for _, state := range in {
 		group := peer.Group(state)
 		known := x.views.Load().Groups[group.Name]
-		news = news || known == nil || group.Term > known.Term
+		updated = updated || known == nil || group.Term > known.Term
 		x.onGroup(group)
 	}
-	if news {
+	if updated {
 		x.Relay()
 	}
 }
 
-// Relay implements PeerEvidence: it passes news on at once instead of at the next tick. Each VM does so
-// once for each piece of news, so it reaches a fleet of n in about log n hops.
+// Relay implements PeerEvidence: it starts exchanges with some peers at once instead of at the
+// next tick. Each VM relays each update once, so an update reaches a fleet of n VMs in about log n
+// hops.
 func (x *Exchange) Relay() {
-	for _, vm := range x.some(relayTo) {
+	for _, vm := range x.randomPeers(relayFanout) {
 		go x.exchangeWith(context.Background(), vm)
 	}
 }
 
-// some returns up to n other live VMs in random order.
-func (x *Exchange) some(n int) []membership.VM {
+// randomPeers returns up to n other live VMs in random order.
+func (x *Exchange) randomPeers(n int) []membership.VM {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	self := x.machine.Self().VM.ID
--- a/controller/exchange_groups.go
+++ b/controller/exchange_groups.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// newsFor is how long a changed group goes into every exchange.
-	newsFor = 10 * time.Second
-	// turnSize is how many groups in turn answer a peer that knows others.
-	turnSize = 2
+	// recentChangePeriod is how long a changed group is part of every exchange.
+	recentChangePeriod = 10 * time.Second
+	// rotationSize is how many groups a reply carries, in rotation, to a peer whose groups differ.
+	rotationSize = 2
 )
 
-// knownGroups is what one view's groups come to. It is worked out once a view:
-// exchanges are many, changes of the view few.
-type knownGroups struct {
+// groupIndex holds the sorted names and the digest of the groups of one view. It is computed once
+// per view, because exchanges are far more frequent than changes of the view.
+type groupIndex struct {
 	view   *view.View
 	names  []string
 	digest uint64
 }
 
-func digestOf(v *view.View) knownGroups {
-	out := knownGroups{view: v, names: slices.Sorted(maps.Keys(v.Groups))}
+func indexGroups(v *view.View) groupIndex {
+	out := groupIndex{view: v, names: slices.Sorted(maps.Keys(v.Groups))}
 	var hash xxhash.Digest
 	hash.Reset()
 	var number [8]byte
@@ -47,45 +47,46 @@
 	return out
 }
 
-// known returns the present view's groups; x.mu must be held.
-func (x *Exchange) known() knownGroups {
-	if v := x.views.Load(); x.groups.view != v {
-		x.groups = digestOf(v)
+// currentIndex returns the index of the current view. x.mu must be held.
+func (x *Exchange) currentIndex() groupIndex {
+	if v := x.views.Load(); x.index.view != v {
+		x.index = indexGroups(v)
 	}
-	return x.groups
+	return x.index
 }
 
-// news returns the groups that changed lately, and the digest of all.
-func (x *Exchange) news() ([]*peerpb.GroupState, uint64) {
+// recentGroups returns the groups that changed within recentChangePeriod, and the digest of all
+// groups.
+func (x *Exchange) recentGroups() ([]*peerpb.GroupState, uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	known := x.known()
+	known := x.currentIndex()
 	now := x.clk.Now()
 	var out []*peerpb.GroupState
 	for _, name := range known.names {
-		if g := known.view.Groups[name]; x.isNews(g, now) {
+		if g := known.view.Groups[name]; x.changedRecently(g, now) {
 			out = append(out, peer.GroupState(g))
 		}
 	}
 	return out, known.digest
 }
 
-func (x *Exchange) isNews(g *view.Group, now clock.Time) bool {
+func (x *Exchange) changedRecently(g *view.Group, now clock.Time) bool {
 	if x.terms[g.Name] != g.Term {
 		x.terms[g.Name] = g.Term
 		x.changed[g.Name] = now
 	}
-	return now.Sub(x.changed[g.Name]) < newsFor
+	return now.Sub(x.changed[g.Name]) < recentChangePeriod
 }
 
-// answerGroups returns all groups to a VM that has just started, also while
-// the store is down, and the news to others.
+// answerGroups returns all groups to a VM that has just started, which also works while the store
+// is down, and the recently changed groups to all others.
 //
-// Failure guarded against: a VM is cut off while a primary changes, and comes
-// back when that is no news any more; it would send its callers to the old
-// primary for good. Its digest differs, so each answer also brings some groups
-// in turn until it does not. While all agree, an exchange carries no group,
-// however many there are.
+// Failure guarded against: a VM is partitioned while a primary changes and reconnects after
+// recentChangePeriod, so no exchange carries the change any more and the VM routes its callers to
+// the old primary for good. The digest of its groups differs, so each reply also carries some
+// groups in rotation until the digests are equal. While they are equal, an exchange carries no
+// group, however many groups there are.
 func (x *Exchange) answerGroups(in *peerpb.ExchangeRequest) []*peerpb.GroupState {
 	if in.GetWantGroups() {
 		var all []*peerpb.GroupState
@@ -94,21 +95,21 @@
 		}
 		return all
 	}
-	out, digest := x.news()
+	out, digest := x.recentGroups()
 	if digest != in.GetGroupsDigest() {
-		out = append(out, x.inTurn()...)
+		out = append(out, x.nextInRotation()...)
 	}
 	return out
 }
 
-func (x *Exchange) inTurn() []*peerpb.GroupState {
+func (x *Exchange) nextInRotation() []*peerpb.GroupState {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	known := x.known()
+	known := x.currentIndex()
 	var out []*peerpb.GroupState
-	for range min(turnSize, len(known.names)) {
-		x.turn = (x.turn + 1) % len(known.names)
-		out = append(out, peer.GroupState(known.view.Groups[known.names[x.turn]]))
+	for range min(rotationSize, len(known.names)) {
+		x.rotation = (x.rotation + 1) % len(known.names)
+		out = append(out, peer.GroupState(known.view.Groups[known.names[x.rotation]]))
 	}
 	return out
 }
--- a/controller/exchange_messages.go
+++ b/controller/exchange_messages.go
@@ -8,13 +8,13 @@
 	"endivemoor.example/endivemoor/peer/peerpb"
 )
 
-// members returns this VM's own record and a bounded number of others.
+// members returns this VM's own record and a bounded number of records of other VMs.
 func (x *Exchange) members() (*peerpb.Member, []*peerpb.Member) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var others []*peerpb.Member
 	for _, r := range x.machine.Records(x.clk.Now()) {
-		others = append(others, x.fleet.said(memberMessage(r)))
+		others = append(others, x.fleet.withReport(memberMessage(r)))
 	}
 	self := memberMessage(x.machine.Self())
 	self.Said = &peerpb.Said{Generation: uint64(x.config.Current().Generation)}
@@ -32,7 +32,7 @@
 	}
 }
 
-func record(m *peerpb.Member) membership.Record {
+func memberRecord(m *peerpb.Member) membership.Record {
 	return membership.Record{
 		VM:          membership.VM{ID: m.GetVm(), Zone: m.GetZone(), Addr: m.GetAddr()},
 		Incarnation: m.GetIncarnation(),
@@ -41,15 +41,15 @@
 	}
 }
 
-func (x *Exchange) takeMembers(ctx context.Context, from *peerpb.Member, others []*peerpb.Member) {
+func (x *Exchange) mergeMembers(ctx context.Context, from *peerpb.Member, others []*peerpb.Member) {
 	if from.GetVm() == "" {
 		return
 	}
-	ev := membership.Exchanged{From: record(from)}
+	ev := membership.Exchanged{From: memberRecord(from)}
 	x.fleet.Hear(from)
 	for _, m := range others {
 		x.fleet.Hear(m)
-		ev.Others = append(ev.Others, record(m))
+		ev.Others = append(ev.Others, memberRecord(m))
 	}
 	x.step(ctx, ev)
 }
--- a/controller/exchange_test.go
+++ b/controller/exchange_test.go
@@ -19,7 +19,7 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// downStore answers no call.
+// downStore is a store that is unavailable.
 type downStore struct{ store.Store }
 
 func (downStore) VMs(context.Context) ([]store.VM, error) { return nil, store.ErrUnavailable }
@@ -59,28 +59,28 @@
 	return Published{Generation: g, Digest: profile.Digest(text), Text: text}
 }
 
-// The store is down and a daemon restarts with nothing. It must serve from what
-// a peer knows: groups with their servers, and the newest profiles. A peer that
-// slept through two publications must not take it back.
+// The store is down and a daemon restarts without any state. It must serve from what a peer has
+// cached: groups with their servers, and the newest profiles. A peer that was paused during two
+// publications must not revert it to an older set.
 func TestRestartedDaemonLearnsFromPeersAndNeverGoesBack(t *testing.T) {
 	old, oldVM := newNode(t, "p1")
 	old.views.Adopt(&view.Group{Name: "g", Term: 4, Primary: "b", Servers: []view.Server{{ID: "b", Addr: "127.0.0.1:9"}}})
 	require.True(t, old.config.Offer(published(3, "4s"), "store"))
 
-	fresh, _ := newNode(t, "p2")
-	fresh.exchangeWith(context.Background(), oldVM)
-	require.Equal(t, "127.0.0.1:9", fresh.views.Load().Groups["g"].Servers[0].Addr)
-	require.Equal(t, profile.Generation(3), fresh.views.Load().Profiles.Generation)
+	restarted, _ := newNode(t, "p2")
+	restarted.exchangeWith(context.Background(), oldVM)
+	require.Equal(t, "127.0.0.1:9", restarted.views.Load().Groups["g"].Servers[0].Addr)
+	require.Equal(t, profile.Generation(3), restarted.views.Load().Profiles.Generation)
 
-	asleep, asleepVM := newNode(t, "p3")
-	require.True(t, asleep.config.Offer(published(1, "9s"), "store"))
-	fresh.exchangeWith(context.Background(), asleepVM)
-	require.Equal(t, profile.Generation(3), fresh.config.Current().Generation)
-	require.Equal(t, profile.Generation(3), asleep.config.Current().Generation, "and the sleeper is brought forward")
+	paused, pausedVM := newNode(t, "p3")
+	require.True(t, paused.config.Offer(published(1, "9s"), "store"))
+	restarted.exchangeWith(context.Background(), pausedVM)
+	require.Equal(t, profile.Generation(3), restarted.config.Current().Generation)
+	require.Equal(t, profile.Generation(3), paused.config.Current().Generation, "the paused peer receives the newer set")
 }
 
-// A damaged copy of a set arrives from a peer: its text does not match the
-// digest that was published. It must not be put in force, whatever its number.
+// A peer sends a damaged copy of a set whose text does not match the published digest. It must not
+// be put in force, however high its generation is.
 func TestDamagedConfigurationIsRefused(t *testing.T) {
 	n, _ := newNode(t, "p1")
 	p := published(9, "4s")
@@ -89,9 +89,9 @@
 	require.Zero(t, n.config.Current().Generation)
 }
 
-// A target is drained for a kernel update and taken back. A VM that heard of the
-// drain only goes on telling it. Nobody may take the drain up again, and the VM
-// that does not watch the store must hear of both.
+// A target is drained for a kernel update and then takes work again. A VM that has received only
+// the start of the drain keeps sending it. No VM may restore the drain, and the VM that does not
+// watch the store must receive both changes.
 func TestDrainsSpreadByPeersAndEndForGood(t *testing.T) {
 	watcher, watcherVM := newNode(t, "p1")
 	watcher.drains.Offer("db-a", true, 10)
@@ -101,36 +101,36 @@
 
 	watcher.drains.Offer("db-a", false, 12)
 	other.exchangeWith(context.Background(), watcherVM)
-	require.False(t, watcher.views.Load().Draining["db-a"], "the late peer's mark is older")
+	require.False(t, watcher.views.Load().Draining["db-a"], "the mark of the outdated peer has an older revision")
 	require.False(t, other.views.Load().Draining["db-a"])
 }
 
-// A VM is cut off from everybody while a primary changes, and comes back long
-// after that was news. It must learn of the new primary from peers. Once all
-// agree, exchanges carry no group: 2,900 groups would cost every VM its bytes.
-func TestLateVMCatchesUpAndThenNothingIsSent(t *testing.T) {
-	knows, knowsVM := newNode(t, "p1")
-	late, _ := newNode(t, "p2")
+// A VM is partitioned while a primary changes and reconnects after recentChangePeriod. It must
+// learn of the new primary from peers. Once all VMs agree, exchanges carry no group: the state of
+// 2,900 groups in each exchange would cost too many bytes.
+func TestPartitionedVMCatchesUpAndThenNoGroupIsSent(t *testing.T) {
+	current, currentVM := newNode(t, "p1")
+	outdated, _ := newNode(t, "p2")
 	for _, name := range []string{"g1", "g2", "g3", "g4", "g5"} {
-		knows.views.Adopt(&view.Group{Name: name, Term: 5, Primary: "b", Servers: []view.Server{{ID: "b"}}})
-		late.views.Adopt(&view.Group{Name: name, Term: 4, Primary: "a", Servers: []view.Server{{ID: "b"}}})
+		current.views.Adopt(&view.Group{Name: name, Term: 5, Primary: "b", Servers: []view.Server{{ID: "b"}}})
+		outdated.views.Adopt(&view.Group{Name: name, Term: 4, Primary: "a", Servers: []view.Server{{ID: "b"}}})
 	}
-	knows.request()
-	for name := range knows.changed {
-		knows.changed[name] = knows.clk.Now().Add(-newsFor)
+	current.request()
+	for name := range current.changed {
+		current.changed[name] = current.clk.Now().Add(-recentChangePeriod)
 	}
-	// What is learned is relayed at once, by exchanges of its own that take their
-	// turns too, so the number of exchanges until all are there is not fixed.
-	for tries := 0; behind(late) > 0; tries++ {
-		require.Less(t, tries, 100, "exchanges without an end")
-		late.exchangeWith(context.Background(), knowsVM)
+	// A received update is relayed at once by further exchanges, which advance the rotation too,
+	// so the number of exchanges until all groups have arrived is not fixed.
+	for tries := 0; behind(outdated) > 0; tries++ {
+		require.Less(t, tries, 100, "groups still differ after 100 exchanges")
+		outdated.exchangeWith(context.Background(), currentVM)
 	}
-	ask := late.request()
-	ask.Groups = nil
-	require.Empty(t, knows.answerGroups(ask))
+	req := outdated.request()
+	req.Groups = nil
+	require.Empty(t, current.answerGroups(req))
 }
 
-// behind counts the groups of which a VM still believes in the old primary.
+// behind counts the groups for which a node still has the old primary.
 func behind(n node) int {
 	count := 0
 	for _, g := range n.views.Load().Groups {
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -13,80 +13,81 @@
 	"endivemoor.example/endivemoor/store"
 )
 
-// forgetUnlisted is how long a VM that the platform does not list stays in the
-// fleet's view after its last word.
-const forgetUnlisted = 10 * time.Minute
+// unlistedRetention is how long a VM that is not in the platform's list is still shown after its
+// last report.
+const unlistedRetention = 10 * time.Minute
 
-// Fleet knows which configuration each VM has in force, by the VM's own word as
-// it came here through peers, and how old that word is. Nobody writes it to the
-// store: any daemon can answer for all.
+// Fleet records which configuration each VM has in force, as reported by the VM itself and
+// forwarded by peers, and the age of each report. Nothing of it is written to the store: any
+// daemon can answer for the whole fleet.
 type Fleet struct {
 	clk  clock.Clock
 	self string
 
-	mu     sync.Mutex
-	words  map[string]*word
-	listed map[string]bool
+	mu      sync.Mutex
+	reports map[string]*vmReport
+	listed  map[string]bool
 }
 
-// word is what a VM last said of itself.
-type word struct {
+// vmReport is the last report of a VM about itself.
+type vmReport struct {
 	zone        string
 	incarnation uint64
 	generation  uint64
 	leaving     bool
-	// said is when the VM said it, valid if spoke.
-	said  clock.Time
-	spoke bool
+	// reportedAt is when the VM made the report. It is valid if reported is set.
+	reportedAt clock.Time
+	reported   bool
 }
 
-// FleetVM is one VM in the fleet's view.
+// FleetVM is the reported state of one VM of the fleet.
 type FleetVM struct {
 	VM         string             `json:"vm"`
 	Zone       string             `json:"zone"`
 	Generation profile.Generation `json:"generation"`
-	// HeardMS is the age of the VM's word in milliseconds; -1 if it never came.
-	// The time that the word was on its way is not in it: below a second a hop.
+	// ReportAgeMS is the age of the VM's report in milliseconds, or -1 if none was received. It
+	// does not include the transit time, which is below a second a hop.
 	HeardMS int64 `json:"heard_ms_ago"`
 	Leaving bool  `json:"leaving"`
 }
 
-// NewFleet returns a view that knows of no VM.
+// NewFleet returns a Fleet without any VM. self is the ID of this VM.
 func NewFleet(clk clock.Clock, self string) *Fleet {
-	return &Fleet{clk: clk, self: self, words: map[string]*word{}, listed: map[string]bool{}}
+	return &Fleet{clk: clk, self: self, reports: map[string]*vmReport{}, listed: map[string]bool{}}
 }
 
-// Hear takes a VM's word, from itself or passed on.
+// RecordReport records the report of a VM, received from the VM itself or forwarded by a peer.
 //
-// Failure guarded against: a VM is cut off for an hour while a new set is
-// published, and shows as current because peers keep passing its record on. The
-// age travels with the word, a word without one counts for nothing, and of one
-// incarnation only a greater generation or a younger word replaces what is known.
+// Failure guarded against: a VM is partitioned for an hour while a new set is published, and is
+// shown as current because peers keep forwarding its record. Each report therefore carries its
+// age, and a record without a report changes nothing. Within one incarnation, only a greater
+// generation or a more recent report replaces the recorded one.
 func (f *Fleet) Hear(m *peerpb.Member) {
 	if m.GetVm() == "" || m.GetVm() == f.self {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := f.ensure(m.GetVm(), m.GetZone())
-	if m.GetIncarnation() < w.incarnation {
+	r := f.ensure(m.GetVm(), m.GetZone())
+	if m.GetIncarnation() < r.incarnation {
 		return
 	}
-	if m.GetIncarnation() > w.incarnation {
-		*w = word{zone: m.GetZone(), incarnation: m.GetIncarnation()}
+	if m.GetIncarnation() > r.incarnation {
+		*r = vmReport{zone: m.GetZone(), incarnation: m.GetIncarnation()}
 	}
 	if m.GetSaid() == nil {
 		return
 	}
-	w.generation = max(w.generation, m.GetSaid().GetGeneration())
-	w.leaving = w.leaving || m.GetLeaving()
+	r.generation = max(r.generation, m.GetSaid().GetGeneration())
+	r.leaving = r.leaving || m.GetLeaving()
 	at := f.clk.Now().Add(-time.Duration(m.GetSaid().GetAgeMs()) * time.Millisecond)
-	if !w.spoke || at.After(w.said) {
-		w.said, w.spoke = at, true
+	if !r.reported || at.After(r.reportedAt) {
+		r.reportedAt, r.reported = at, true
 	}
 }
 
-// List takes the platform's list: a VM on it is shown also if it never spoke.
+// RecordListed records the platform's list of VMs. A listed VM is shown even if it never sent a
+// report.
 func (f *Fleet) List(vms []store.VM) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,46 +99,46 @@
 		}
 	}
 	now := f.clk.Now()
-	maps.DeleteFunc(f.words, func(id string, w *word) bool {
-		return !f.listed[id] && (!w.spoke || now.Sub(w.said) > forgetUnlisted)
+	maps.DeleteFunc(f.reports, func(id string, r *vmReport) bool {
+		return !f.listed[id] && (!r.reported || now.Sub(r.reportedAt) > unlistedRetention)
 	})
 }
 
-func (f *Fleet) ensure(id, zone string) *word {
-	w := f.words[id]
-	if w == nil {
-		w = &word{zone: zone}
-		f.words[id] = w
+func (f *Fleet) ensure(id, zone string) *vmReport {
+	r := f.reports[id]
+	if r == nil {
+		r = &vmReport{zone: zone}
+		f.reports[id] = r
 	}
-	return w
+	return r
 }
 
-// said adds what is known of the VM to its record. Only the word of the record's
-// own incarnation goes with it.
-func (f *Fleet) said(m *peerpb.Member) *peerpb.Member {
+// withReport adds the recorded report of the VM to its record, if both belong to the same
+// incarnation.
+func (f *Fleet) withReport(m *peerpb.Member) *peerpb.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := f.words[m.GetVm()]
-	if w == nil || !w.spoke || w.incarnation != m.GetIncarnation() {
+	r := f.reports[m.GetVm()]
+	if r == nil || !r.reported || r.incarnation != m.GetIncarnation() {
 		return m
 	}
-	m.Said = &peerpb.Said{Generation: w.generation, AgeMs: uint64(f.age(w))}
+	m.Said = &peerpb.Said{Generation: r.generation, AgeMs: uint64(f.age(r))}
 	return m
 }
 
-func (f *Fleet) age(w *word) int64 {
-	return max(f.clk.Now().Sub(w.said), 0).Milliseconds()
+func (f *Fleet) age(r *vmReport) int64 {
+	return max(f.clk.Now().Sub(r.reportedAt), 0).Milliseconds()
 }
 
-// VMs returns all VMs but this one, sorted by id.
+// VMs returns all VMs except this one, sorted by ID.
 func (f *Fleet) VMs() []FleetVM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := make([]FleetVM, 0, len(f.words))
-	for id, w := range f.words {
-		vm := FleetVM{VM: id, Zone: w.zone, Generation: profile.Generation(w.generation), HeardMS: -1, Leaving: w.leaving}
-		if w.spoke {
-			vm.HeardMS = f.age(w)
+	out := make([]FleetVM, 0, len(f.reports))
+	for id, r := range f.reports {
+		vm := FleetVM{VM: id, Zone: r.zone, Generation: profile.Generation(r.generation), HeardMS: -1, Leaving: r.leaving}
+		if r.reported {
+			vm.HeardMS = f.age(r)
 		}
 		out = append(out, vm)
 	}
--- a/controller/gate_test.go
+++ b/controller/gate_test.go
@@ -19,12 +19,12 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// fakeServers answer control calls from a table that the test changes.
+// fakeServers answers control calls from a table that the test changes.
 type fakeServers struct {
-	mu       sync.Mutex
-	status   map[target.ID]target.Status
-	silent   map[target.ID]bool
-	onStatus func(id target.ID)
+	mu           sync.Mutex
+	status       map[target.ID]target.Status
+	unresponsive map[target.ID]bool
+	onStatus     func(id target.ID)
 }
 
 type fakeDB struct {
@@ -36,7 +36,7 @@
 func (d fakeDB) Status(context.Context) (target.Status, error) {
 	d.in.mu.Lock()
 	defer d.in.mu.Unlock()
-	if d.in.silent[d.id] {
+	if d.in.unresponsive[d.id] {
 		return target.Status{}, errors.New("no answer")
 	}
 	if d.in.onStatus != nil {
@@ -63,7 +63,7 @@
 }
 
 func newServers() *fakeServers {
-	f := &fakeServers{status: map[target.ID]target.Status{}, silent: map[target.ID]bool{}}
+	f := &fakeServers{status: map[target.ID]target.Status{}, unresponsive: map[target.ID]bool{}}
 	for _, id := range []target.ID{"a", "b", "c"} {
 		f.status[id] = target.Status{Server: id, Role: target.RoleReplica, Term: 1, Promised: 1, LSN: 5}
 	}
@@ -71,13 +71,14 @@
 	return f
 }
 
-// A purchase commits at 9, both replicas are at 5. The answer waits until one
-// of them holds the purchase; a crash before that would have lost it.
+// A purchase commits at position 9 while both replicas are at 5. The acknowledgement must wait
+// until one of them holds the purchase; otherwise a crash of the primary could lose an
+// acknowledged write.
 func TestAcknowledgementWaitsForAReplicaThatHoldsTheWrite(t *testing.T) {
 	f := newServers()
-	asks := 0
+	queries := 0
 	f.onStatus = func(id target.ID) {
-		if asks++; asks == 6 {
+		if queries++; queries == 6 {
 			f.status["c"] = target.Status{Server: "c", Term: 1, Promised: 1, LSN: 9}
 		}
 	}
@@ -86,12 +87,12 @@
 	require.NoError(t, g.Acknowledge(context.Background(), group, pos, profile.Confirmed))
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	require.GreaterOrEqual(t, asks, 6)
+	require.GreaterOrEqual(t, queries, 6)
 }
 
-// The old primary a froze and was superseded: b leads term 2, c follows it. A
-// purchase commits at b. a answers no question; the purchase must not wait for
-// that: here a never answers at all, so a wait would not end.
+// The old primary a froze and was superseded: b is primary of term 2, and c follows it. A purchase
+// commits at b and must not wait for a. In this test a never replies, so a wait for it would not
+// end.
 func TestAcknowledgementDoesNotWaitForAFrozenServer(t *testing.T) {
 	f := newServers()
 	g, group := newGate(f)
@@ -99,10 +100,10 @@
 	next.Term, next.Primary = 2, "b"
 	next.History = group.History.Append(timeline.Start{Term: 2, LSN: 5})
 	g.Views.Adopt(&next)
-	asks := 0
+	queries := 0
 	f.onStatus = func(id target.ID) {
 		lsn := timeline.LSN(5)
-		if asks++; asks > 5 {
+		if queries++; queries > 5 {
 			lsn = 9
 		}
 		f.status["c"] = target.Status{Server: "c", Term: 2, Promised: 2, LSN: lsn}
@@ -117,8 +118,8 @@
 	require.NoError(t, g.Acknowledge(context.Background(), &next, pos, profile.Confirmed))
 }
 
-// The primary is cut off and superseded while it commits: another server leads
-// term 2, which started before the write. The caller must hear "unknown".
+// The primary is partitioned and superseded while it commits: another server is primary of term 2,
+// which started before the write. The caller must receive the outcome unknown.
 func TestWriteBeyondTheNextTermsStartIsUnknown(t *testing.T) {
 	f := newServers()
 	g, group := newGate(f)
@@ -133,8 +134,8 @@
 	require.Positive(t, o.RetryAfter)
 }
 
-// A session roams in without its token. This proxy still believes in a, but b
-// and c have promised term 2. The floor must not be taken from a.
+// A session without its token connects to this VM, which still considers a the primary, but b and
+// c have promised term 2. The floor must not be taken from a.
 func TestFloorIsNotTakenFromASupersededPrimary(t *testing.T) {
 	f := newServers()
 	g, group := newGate(f)
@@ -153,7 +154,7 @@
 	require.Equal(t, outcome.NotRun, o.Outcome)
 }
 
-// asOutcome returns the typed error in err, if there is one.
+// asOutcome returns the *outcome.Error in the chain of err, if there is one.
 func asOutcome(err error) (*outcome.Error, bool) {
 	var o *outcome.Error
 	ok := errors.As(err, &o)
--- a/controller/group.go
+++ b/controller/group.go
@@ -16,25 +16,24 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// eventBacklog is how many events of a group may wait. Events beyond it are
-// dropped: each one is repeated or replaced by a later one.
+// eventBacklog is how many events of a group can be queued. Events beyond it are dropped: each one
+// is repeated or superseded by a later one.
 const eventBacklog = 1024
 
-// PeerEvidence asks other VMs what they know of a group's servers. AskPeers calls
-// report once for each server that a peer speaks of, and returns when every
-// peer has answered or failed.
+// PeerEvidence queries other VMs for their evidence of a group's servers. QueryPeers calls report
+// once for each server that a peer reports on, and returns when every peer has replied or failed.
 type PeerEvidence interface {
 	AskPeers(ctx context.Context, group string, report func(failover.PeerReport))
-	// Relay tells peers at once of what this VM has learned.
+	// Relay sends the newest state of this VM to some peers at once.
 	Relay()
 }
 
-// Recorder takes the fleet's own acts for the audit trail and for explain.
+// Recorder records the fleet's own acts for the audit trail and for explain.
 type Recorder interface {
 	RecordAct(e failover.Entry)
 }
 
-// Deps is what all group controllers share.
+// Deps holds the dependencies that all group controllers share.
 type Deps struct {
 	Clock    clock.Clock
 	Views    *view.Holder
@@ -55,8 +54,8 @@
 	dropped func()
 }
 
-// NewGroup returns the controller of the group. dropped is called for every
-// event that did not fit into the backlog.
+// NewGroup returns the controller of the group. It calls dropped for every event that does not fit
+// into the backlog.
 func NewGroup(d Deps, group *view.Group, cfg failover.Config, rng *rand.Rand, dropped func()) *Group {
 	return &Group{
 		Deps:    d,
@@ -68,7 +67,7 @@
 	}
 }
 
-// Post hands an event in. It never blocks.
+// Post queues an event, or drops it if the backlog is full. It never blocks.
 func (g *Group) Post(ev failover.Event) {
 	select {
 	case g.events <- ev:
@@ -77,7 +76,7 @@
 	}
 }
 
-// Run steps the machine until ctx ends. It is the machine's only goroutine.
+// Run steps the machine until ctx ends. It is the only goroutine that uses the machine.
 func (g *Group) Run(ctx context.Context) {
 	ticker := time.NewTicker(g.tick)
 	defer ticker.Stop()
@@ -95,13 +94,13 @@
 
 func (g *Group) step(ctx context.Context, ev failover.Event) {
 	for _, a := range g.machine.Step(g.Clock.Now(), ev) {
-		g.carryOut(ctx, a)
+		g.execute(ctx, a)
 	}
 }
 
-// carryOut starts an action. Those that wait for an answer run on their own, so
-// that a frozen server or a slow store never delays the machine's ticks.
-func (g *Group) carryOut(ctx context.Context, action failover.Action) {
+// execute starts an action. Actions that wait for a reply run in goroutines of their own, so that
+// a frozen server or a slow store does not delay the ticks of the machine.
+func (g *Group) execute(ctx context.Context, action failover.Action) {
 	switch a := action.(type) {
 	case failover.Probe:
 		go g.probe(ctx, a)
@@ -138,8 +137,8 @@
 	g.Peers.Relay()
 }
 
-// link returns the control connection to a server of the group, or nil when
-// the view no longer has it.
+// link returns the control connection to a server of the group, or nil if the current view does
+// not contain the server.
 func (g *Group) link(id target.ID) *control.Link {
 	group := g.Views.Load().Groups[g.name]
 	if group == nil {
@@ -167,21 +166,21 @@
 }
 
 func (g *Group) fence(a failover.Fence) {
-	st, err := g.orderStatus(a.Server, func(l *control.Link) (target.Status, error) { return l.Fence(a.Term) })
+	st, err := g.sendCommand(a.Server, func(l *control.Link) (target.Status, error) { return l.Fence(a.Term) })
 	g.Post(failover.FenceAnswered{Server: a.Server, Term: a.Term, Status: st, Err: err})
 }
 
 func (g *Group) promote(a failover.Promote) {
-	st, err := g.orderStatus(a.Server, func(l *control.Link) (target.Status, error) { return l.Promote(a.Term) })
+	st, err := g.sendCommand(a.Server, func(l *control.Link) (target.Status, error) { return l.Promote(a.Term) })
 	g.Post(failover.PromoteAnswered{Server: a.Server, Term: a.Term, Status: st, Err: err})
 }
 
-func (g *Group) orderStatus(id target.ID, order func(*control.Link) (target.Status, error)) (target.Status, error) {
+func (g *Group) sendCommand(id target.ID, command func(*control.Link) (target.Status, error)) (target.Status, error) {
 	l := g.link(id)
 	if l == nil {
 		return target.Status{}, errNoServer
 	}
-	return order(l)
+	return command(l)
 }
 
 func (g *Group) follow(a failover.Follow) {
--- a/controller/journal.go
+++ b/controller/journal.go
@@ -14,28 +14,29 @@
 	"endivemoor.example/endivemoor/failover"
 )
 
-// Journal records the fleet's own acts: in the log, for explain, and, for acts
-// that change a group, in the audit trail. It implements Recorder.
+// Journal records the fleet's own acts in the log and for explain, and acts that change a group
+// also in the audit trail. It implements Recorder.
 type Journal struct {
-	// VM names this VM in the trail, and Incarnation this run of its daemon.
+	// VM is the name of this VM in the trail, and Incarnation identifies this run of its daemon.
 	VM, Incarnation string
 	Trail           *auditlog.Recorder
 	Promotions      *explain.Ring
 	Log             *zap.Logger
 
 	mu sync.Mutex
-	// started is the start of each group's newest attempt.
+	// started holds the entry that started each group's newest promotion attempt.
 	started map[string]failover.Entry
 }
 
-// act is one recorded step with its evidence, as explain shows it.
-type act struct {
+// step is one recorded step with its evidence, as explain shows it.
+type step struct {
 	At    time.Time      `json:"at"`
 	Entry failover.Entry `json:"entry"`
 }
 
-// trailed are the steps that change a group and so belong into the trail.
-var trailed = map[failover.Step]audit.Action{
+// auditedSteps maps the steps that change a group to the actions under which the audit trail
+// records them.
+var auditedSteps = map[failover.Step]audit.Action{
 	failover.StepFenced:    audit.GroupFenced,
 	failover.StepPromoted:  audit.GroupPromoted,
 	failover.StepFollowing: audit.GroupDiscarded,
@@ -44,32 +45,32 @@
 // RecordAct implements Recorder.
 func (j *Journal) RecordAct(e failover.Entry) {
 	now := time.Now()
-	e.Reason = j.why(e)
+	e.Reason = j.reasonOf(e)
 	j.Log.Info("group_"+string(e.Step),
 		zap.String("group", e.Group),
 		zap.Uint64("term", uint64(e.Term)),
 		zap.String("server", string(e.Server)),
 		zap.String("reason", e.Reason))
-	j.keepForExplain(e, now)
-	action, ok := trailed[e.Step]
+	j.addToExplain(e, now)
+	action, ok := auditedSteps[e.Step]
 	if !ok || (action == audit.GroupDiscarded && len(e.Discarded) == 0) {
 		return
 	}
-	if err := j.Trail.Record(j.pending(e, action, now)); err != nil {
+	if err := j.Trail.Record(j.pendingAct(e, action, now)); err != nil {
 		j.Log.Error("audit_act_lost", zap.String("group", e.Group), zap.Error(err))
 	}
 }
 
-// pending returns the act under an id that no other act has: a term belongs to
-// one attempt of one VM.
-func (j *Journal) pending(e failover.Entry, action audit.Action, now time.Time) auditlog.Pending {
+// pendingAct returns the act for the audit trail. Its ID is unique, because a term belongs to one
+// attempt of one VM.
+func (j *Journal) pendingAct(e failover.Entry, action audit.Action, now time.Time) auditlog.Pending {
 	id := fmt.Sprintf("%s/%s/%d/%s/%s", j.Incarnation, e.Group, e.Term, e.Step, e.Server)
 	to := fmt.Sprintf("term=%d server=%s", e.Term, e.Server)
 	return auditlog.Act(id, now, j.VM, action, e.Reason, e.Group, evidenceText(e), to)
 }
 
-// evidenceText is the evidence as it was, or what was discarded, in one line
-// for an auditor. The trail clips it; explain holds it whole.
+// evidenceText formats the discarded entries, or else the evidence at the time of the step, in one
+// line. The trail truncates the line; explain returns all of it.
 func evidenceText(e failover.Entry) string {
 	var parts []string
 	for _, x := range e.Discarded {
@@ -85,17 +86,17 @@
 }
 
 func observationText(x failover.Evidence) string {
-	heard := "answered " + x.Age.Round(time.Millisecond).String() + " ago"
+	lastReply := "answered " + x.Age.Round(time.Millisecond).String() + " ago"
 	if x.Silent {
-		heard = "silent, last " + heard
+		lastReply = "silent, last " + lastReply
 	}
 	return fmt.Sprintf("%s (%s) saw %s: %s term=%d position=%d promised=%d, %s",
-		x.VM, x.Zone, x.Server, x.Status.Role, x.Status.Term, x.Status.LSN, x.Status.Promised, heard)
+		x.VM, x.Zone, x.Server, x.Status.Role, x.Status.Term, x.Status.LSN, x.Status.Promised, lastReply)
 }
 
-// why returns the entry's reason; a step of an attempt that has none gets that
-// of the attempt's start.
-func (j *Journal) why(e failover.Entry) string {
+// reasonOf returns the entry's reason. A step without a reason has that of the entry that started
+// its attempt.
+func (j *Journal) reasonOf(e failover.Entry) string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if e.Step == failover.StepStarted {
@@ -111,13 +112,13 @@
 	return start.Reason
 }
 
-// keepForExplain adds the step to the acts of its group.
-func (j *Journal) keepForExplain(e failover.Entry, now time.Time) {
-	const keep = 64
-	var acts []act
+// addToExplain adds the step to the newest steps of its group.
+func (j *Journal) addToExplain(e failover.Entry, now time.Time) {
+	const maxSteps = 64
+	var steps []step
 	if before, ok := j.Promotions.Get(e.Group); ok {
-		acts = before.([]act)
+		steps = before.([]step)
 	}
-	acts = append(append([]act{}, acts...), act{At: now, Entry: e})
-	j.Promotions.Add(e.Group, acts[max(0, len(acts)-keep):])
+	steps = append(append([]step{}, steps...), step{At: now, Entry: e})
+	j.Promotions.Add(e.Group, steps[max(0, len(steps)-maxSteps):])
 }
--- a/controller/manager.go
+++ b/controller/manager.go
@@ -14,69 +14,69 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// Manager starts a Group controller for each group that this VM serves, and
-// hands events to them.
+// Manager runs a Group controller for each group that is assigned to this VM, and forwards events
+// to them.
 type Manager struct {
 	Deps
 	// Failover is the configuration of every group's machine.
 	Failover failover.Config
-	// Serve lists the groups; empty means all.
+	// Serve lists the groups that this deployment serves; empty means all.
 	Serve []string
-	// Drains is where drain marks go.
+	// Drains records the drain marks.
 	Drains *Drains
-	// Duty says which groups this VM controls.
+	// Assignment determines which groups this VM controls.
 	Duty *Duty
-	// Forget drops what is kept of servers that a view no longer has.
+	// Forget drops the state of servers that are not in the view.
 	Forget func(*view.View)
-	// Dropped counts events that a full backlog dropped.
+	// Dropped is called for each event that did not fit into a full backlog.
 	Dropped func()
 
 	ctx    context.Context
 	mu     sync.Mutex
-	groups map[string]running
+	groups map[string]runningGroup
 }
 
-// running is a controller and what ends it.
-type running struct {
+// runningGroup is a controller together with the function that stops it.
+type runningGroup struct {
 	*Group
 	stop context.CancelFunc
 }
 
-// Start makes the manager ready; its controllers run until ctx ends.
+// Start initializes the manager. Its controllers run until ctx ends.
 func (m *Manager) Start(ctx context.Context) {
 	m.ctx = ctx
-	m.groups = map[string]running{}
+	m.groups = map[string]runningGroup{}
 }
 
 func (m *Manager) serves(name string) bool {
 	return len(m.Serve) == 0 || slices.Contains(m.Serve, name)
 }
 
-// Reassign starts and stops controllers after a change of duties. A controller
-// that is stopped in mid-promotion leaves a term half used: the group's other
-// probers go on with a later one.
+// Reassign starts and stops controllers after a change of the assignment. A controller that is
+// stopped during a promotion leaves a reserved term unused; the group's other probers continue
+// with a later term.
 func (m *Manager) Reassign() {
 	for _, group := range m.Views.Load().Groups {
-		m.control(group)
+		m.controllerFor(group)
 	}
 }
 
-// control returns the group's controller, started or stopped as duty asks; nil
-// if the group is not this VM's duty.
-func (m *Manager) control(group *view.Group) *Group {
+// controllerFor returns the group's controller, and starts or stops it as assigned. It returns nil
+// if the group is not assigned to this VM.
+func (m *Manager) controllerFor(group *view.Group) *Group {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r, runs := m.groups[group.Name]
-	wanted := m.Duty.Probes(group.Name)
+	r, exists := m.groups[group.Name]
+	assigned := m.Duty.Probes(group.Name)
 	switch {
-	case runs && wanted:
+	case exists && assigned:
 		return r.Group
-	case runs:
+	case exists:
 		r.stop()
 		delete(m.groups, group.Name)
 		m.Log.Info("group_left", zap.String("group", group.Name))
 		return nil
-	case !wanted:
+	case !assigned:
 		return nil
 	}
 	return m.start(group)
@@ -86,7 +86,7 @@
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	ctx, stop := context.WithCancel(m.ctx)
 	c := NewGroup(m.Deps, group, m.Failover, rng, m.Dropped)
-	m.groups[group.Name] = running{c, stop}
+	m.groups[group.Name] = runningGroup{c, stop}
 	go c.Run(ctx)
 	c.Post(failover.GroupLearned{Group: *group, Version: store.Version(group.Version)})
 	m.Log.Info("group_served", zap.String("group", group.Name), zap.Uint64("term", uint64(group.Term)))
@@ -102,10 +102,10 @@
 	}
 }
 
-// OnPeerGroup takes a group's state from a peer.
-func (m *Manager) OnPeerGroup(group *view.Group) { m.learn(group, 0) }
+// OnPeerGroup adopts the state of a group that a peer sent.
+func (m *Manager) OnPeerGroup(group *view.Group) { m.adopt(group, 0) }
 
-// Watchers returns the watchers of groups and drains.
+// Watchers returns the watchers of groups and of drain marks.
 func (m *Manager) Watchers(active func() bool) []*Watcher {
 	return []*Watcher{
 		m.watcher(store.PurposeGroup, groupPrefix, m.onGroups, active),
--- a/controller/observe.go
+++ b/controller/observe.go
@@ -15,29 +15,29 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// watchedWithin is how lately an ask of a server must have ended for this VM
-// to answer peers from what it has. It is above two control timeouts: an ask
-// that waits behind one on a frozen server ends after both.
-const watchedWithin = 2*control.DefaultTimeout + 200*time.Millisecond
+// recentQueryPeriod is how recently a status query to a server must have ended for this VM to
+// answer peers from its evidence. It exceeds two control timeouts: a query that waits behind
+// another one to a frozen server ends after both.
+const recentQueryPeriod = 2*control.DefaultTimeout + 200*time.Millisecond
 
-// AskPeers implements PeerEvidence: the group's other probers are asked at
-// once. They watch its servers and are spread over the availability zones.
+// QueryPeers implements PeerEvidence: it queries the group's other probers concurrently. They poll
+// the group's servers and are spread over the availability zones.
 func (x *Exchange) AskPeers(ctx context.Context, group string, report func(failover.PeerReport)) {
 	var wg sync.WaitGroup
-	for _, vm := range x.duty.Probers(group) {
-		if vm.ID == x.duty.self {
+	for _, vm := range x.assignment.Probers(group) {
+		if vm.ID == x.assignment.self {
 			continue
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			x.askPeer(ctx, vm, group, report)
+			x.queryPeer(ctx, vm, group, report)
 		}()
 	}
 	wg.Wait()
 }
 
-func (x *Exchange) askPeer(ctx context.Context, vm membership.VM, group string, report func(failover.PeerReport)) {
+func (x *Exchange) queryPeer(ctx context.Context, vm membership.VM, group string, report func(failover.PeerReport)) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	self, _ := x.members()
@@ -50,29 +50,29 @@
 	}
 }
 
-// neverGrace is how long a VM must have watched a server that never answered it
-// to count as a witness of its silence.
-const neverGrace = 1500 * time.Millisecond
+// minWitnessWatch is how long a VM must have polled a server without any reply to count as a
+// witness that the server is unresponsive.
+const minWitnessWatch = 1500 * time.Millisecond
 
-// peerReport reads a peer's word.
+// peerReport converts an observation of a peer.
 //
-// Failure guarded against: the daemons are replaced while the primary is dead.
-// None of them has ever had an answer from it, none counts as a witness, and the
-// group stays without a primary for ever. A VM that has watched in vain for
-// longer than a start takes is a witness as well.
+// Failure guarded against: the daemons are replaced while the primary is dead. None of them has
+// ever received a reply from the primary, so none counts as a witness, and the group stays without
+// a primary. Therefore a VM that has polled without a reply for longer than the daemons take to
+// start is a witness as well.
 func peerReport(vm membership.VM, o *peerpb.Observation) failover.PeerReport {
 	age := time.Duration(o.GetGoodAgeMs()) * time.Millisecond
 	return failover.PeerReport{
 		VM:       vm.ID,
 		Zone:     vm.Zone,
 		Server:   target.ID(o.GetServer()),
-		Seen:     !o.GetNever() || age >= neverGrace,
+		Seen:     !o.GetNever() || age >= minWitnessWatch,
 		LastGood: age,
 		Status:   peer.Status(o),
 	}
 }
 
-// Observer answers peers that ask for this VM's own evidence.
+// Observer answers peers that query this VM for its own evidence.
 type Observer struct {
 	Clock    clock.Clock
 	Views    *view.Holder
@@ -80,14 +80,13 @@
 	Evidence *Evidence
 }
 
-// Observe returns this VM's evidence of each of a group's servers.
+// Observe returns this VM's evidence of each server of a group.
 //
-// Failure guarded against: the primary freezes, every VM suspects it, and each
-// asks its peers. Were a peer to ask the frozen server once more before it
-// answers, its word would come after the question's time had passed, no two
-// zones would ever agree, and the group would stay without a primary. A VM that
-// watches a server therefore answers at once, with the age of what it has; only
-// one that does not watch it asks first.
+// Failure guarded against: the primary freezes, every VM suspects it, and each queries its peers.
+// If a peer queried the frozen server once more before it replies, its reply would arrive after
+// the timeout of the request, no two zones would ever agree, and the group would stay without a
+// primary. A VM that polls a server therefore replies at once with the age of its evidence; only a
+// VM that does not poll the server queries it first.
 func (o *Observer) Observe(ctx context.Context, name string) []*peerpb.Observation {
 	group := o.Views.Load().Groups[name]
 	if group == nil {
@@ -99,15 +98,15 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			out[i] = o.one(ctx, name, s)
+			out[i] = o.observe(ctx, name, s)
 		}()
 	}
 	wg.Wait()
 	return out
 }
 
-func (o *Observer) one(ctx context.Context, group string, s view.Server) *peerpb.Observation {
-	if !o.Evidence.AskedSince(s.ID, o.Clock.Now().Add(-watchedWithin)) {
+func (o *Observer) observe(ctx context.Context, group string, s view.Server) *peerpb.Observation {
+	if !o.Evidence.AskedSince(s.ID, o.Clock.Now().Add(-recentQueryPeriod)) {
 		_, _ = o.Links.Of(s).Status(ctx)
 	}
 	newest, ok := o.Evidence.Newest(s.ID)
--- a/controller/observe_test.go
+++ b/controller/observe_test.go
@@ -16,7 +16,7 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// frozenDB accepts a call and never answers.
+// frozenDB accepts a call and never replies.
 type frozenDB struct{ target.Database }
 
 func (frozenDB) Status(ctx context.Context) (target.Status, error) {
@@ -26,11 +26,11 @@
 
 func (frozenDB) Close(context.Context) error { return nil }
 
-// The primary freezes under load. All three VMs suspect it and ask each other,
-// but each asks the frozen server again before it answers, so every answer comes
-// too late to count and callers wait for eleven seconds (seen on processes). A VM
-// that watches the server must answer from what it has: here, for ever otherwise.
-func TestPeersHearOfAFrozenServerAtOnce(t *testing.T) {
+// The primary freezes under load. All three VMs suspect it and query each other. If each of them
+// queried the frozen server again before it replies, every reply would arrive too late to count,
+// and callers would wait for eleven seconds. A VM that polls the server must reply from its
+// evidence; in this test any other reply never arrives.
+func TestObserveDoesNotWaitForAFrozenServer(t *testing.T) {
 	clk := monotonic.New()
 	dial := func(context.Context, target.ID, string) (target.Database, error) { return frozenDB{}, nil }
 	views := view.NewHolder()
@@ -46,14 +46,14 @@
 	require.Equal(t, uint64(1), got[0].GetTerm())
 }
 
-// All daemons are replaced while the primary is dead (in a process test, killed
-// within 40 ms of their start). Nobody has ever seen it alive, so nobody counted
-// as a witness and the group had no primary for good.
-func TestAVMThatWatchedInVainIsAWitness(t *testing.T) {
+// All daemons are replaced while the primary is dead, for example killed within 40 ms of their
+// start. No daemon has ever received a reply from it. If that kept them from being witnesses, the
+// group would stay without a primary.
+func TestVMThatNeverReceivedAReplyIsAWitness(t *testing.T) {
 	vm := membership.VM{ID: "p2", Zone: "z2"}
-	young := peer.Observation("g", "a", nil, 100*time.Millisecond)
-	require.False(t, peerReport(vm, young).Seen, "it may just have started")
-	old := peer.Observation("g", "a", nil, 3*time.Second)
-	require.True(t, peerReport(vm, old).Seen)
-	require.Equal(t, 3*time.Second, peerReport(vm, old).LastGood)
+	started := peer.Observation("g", "a", nil, 100*time.Millisecond)
+	require.False(t, peerReport(vm, started).Seen, "the daemon may have started only 100 ms ago")
+	polled := peer.Observation("g", "a", nil, 3*time.Second)
+	require.True(t, peerReport(vm, polled).Seen)
+	require.Equal(t, 3*time.Second, peerReport(vm, polled).LastGood)
 }
--- a/controller/store.go
+++ b/controller/store.go
@@ -17,11 +17,11 @@
 	leasePrefix = "leases/"
 )
 
-var errNoServer = errors.New("the group has no such server")
+var errNoServer = errors.New("server is not in the current view of the group")
 
 // lease is the value of the object "leases/<group>".
 type lease struct {
-	// Holder is the incarnation that holds it.
+	// Holder is the incarnation that holds the lease.
 	Holder string `json:"holder"`
 }
 
@@ -65,7 +65,7 @@
 	g.Post(failover.GroupLearned{Group: *group, Version: version})
 }
 
-// ReadGroup returns a group's object and its version.
+// ReadGroup reads the object of a group and returns the group and the object's version.
 func ReadGroup(ctx context.Context, objects store.Store, name string) (*view.Group, store.Version, error) {
 	obj, err := objects.Get(ctx, store.PurposeGroup, groupPrefix+name)
 	if err != nil {
--- a/controller/watched.go
+++ b/controller/watched.go
@@ -16,7 +16,7 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// onGroups takes changed group objects from the store.
+// onGroups adopts changed group objects from the store.
 func (m *Manager) onGroups(_ context.Context, changed []store.Object, _ int64) {
 	for _, obj := range changed {
 		if obj.Version == 0 {
@@ -28,25 +28,24 @@
 			m.Log.Error("group_object_unreadable", zap.String("key", obj.Key), zap.Error(err))
 			continue
 		}
-		m.learn(group, obj.Version)
+		m.adopt(group, obj.Version)
 	}
 }
 
-// learn adopts a group and tells its controller.
-func (m *Manager) learn(group *view.Group, version store.Version) {
+// adopt puts a group into the view if it is newer, and posts it to its controller.
+func (m *Manager) adopt(group *view.Group, version store.Version) {
 	if !m.serves(group.Name) {
 		return
 	}
 	if m.Views.Adopt(group) {
 		m.Forget(m.Views.Load())
 	}
-	if c := m.control(group); c != nil {
+	if c := m.controllerFor(group); c != nil {
 		c.Post(failover.GroupLearned{Group: *group, Version: version})
 	}
 }
 
-// onDrains takes changed drain marks. A mark that is ending, or gone, lets the
-// target take work again.
+// onDrains applies changed drain marks. A target whose mark is ending or deleted takes work again.
 func (m *Manager) onDrains(_ context.Context, changed []store.Object, revision int64) {
 	for _, obj := range changed {
 		draining := false
@@ -63,40 +62,39 @@
 	}
 }
 
-// OnDrain takes a drain from the store or a peer, and passes news on. A primary
-// that leaves is relieved first.
+// OnDrain applies the drain state that the store or a peer reports, and relays a change to peers.
+// A draining primary is first replaced by a planned change of primary.
 func (m *Manager) OnDrain(id target.ID, draining bool, revision int64) {
 	if !m.Drains.Offer(id, draining, revision) {
 		return
 	}
 	m.Peers.Relay()
 	if draining {
-		m.relieve(id)
+		m.requestHandover(id)
 	}
 }
 
-// relieveEvery is how often a change of primary is asked for again while the
-// primary's drain mark stands.
-const relieveEvery = 2 * time.Second
+// handoverRetryInterval is how often a planned change of primary is requested again while the
+// primary is draining.
+const handoverRetryInterval = 2 * time.Second
 
-// RunDrains asks again for the relief of primaries that leave, until ctx ends.
+// RunDrains periodically requests planned changes of draining primaries until ctx ends.
 //
-// Failure guarded against: a planned change ends with the old primary again,
-// because its replicas were too far behind in time. Asked for once, it would
-// never be tried again, and the operator would wait for a drain that does not
-// come.
+// Failure guarded against: a planned change ends with the old primary still in place, because its
+// replicas did not catch up in time. If it were requested only once, it would never be tried
+// again, and the drain that the operator waits for would not finish.
 func (m *Manager) RunDrains(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, relieveEvery)
+		wait.For(ctx, handoverRetryInterval)
 		for id := range m.Views.Load().Draining {
-			m.relieve(id)
+			m.requestHandover(id)
 		}
 	}
 }
 
-// relieve asks the controllers of groups that the server leads for a planned
-// change of primary.
-func (m *Manager) relieve(id target.ID) {
+// requestHandover requests a planned change of primary from the controllers of the groups whose
+// primary the server is.
+func (m *Manager) requestHandover(id target.ID) {
 	for name, group := range m.Views.Load().Groups {
 		if group.Primary == id {
 			m.post(name, failover.Relieve{Server: id})
--- a/controller/watcher.go
+++ b/controller/watcher.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	// watchWait is how long one watch call may wait; each call counts against
-	// the store's rate, also one that waits.
+	// watchWait limits the wait of one watch call. Each call counts against the store's rate
+	// limit, also one that waits.
 	watchWait = 20 * time.Second
-	// inactivePause is how often a VM that is no watcher asks if it became one.
+	// inactivePause is how often a VM that is not a watcher checks whether it has become one.
 	inactivePause = time.Second
 	watchRetryMin = 200 * time.Millisecond
 	watchRetryMax = 5 * time.Second
 )
 
-// handler takes objects that changed up to a revision of the store; an object of
-// version 0 was deleted.
+// handler receives the objects that changed up to a revision of the store. An object of version 0
+// was deleted.
 type handler func(ctx context.Context, changed []store.Object, revision int64)
 
-// Watcher follows the objects below one prefix, while this VM is among the few
-// watchers of its availability zone. The rest of the fleet learns from peers.
+// Watcher watches the objects below one prefix while this VM is one of the few store watchers of
+// its availability zone. All other VMs receive the changes from peers.
 type Watcher struct {
 	Store   store.Store
 	Purpose store.Purpose
 	Prefix  string
 	Handle  handler
-	// Active says if this VM watches now.
+	// Active reports whether this VM currently watches the store.
 	Active func() bool
 	Rand   *rand.Rand
 	Log    *zap.Logger
 
-	// since is the revision to go on from; 0 until the first answer, which
-	// every VM asks for: it needs the present objects once.
+	// since is the revision from which the next watch continues. It is 0 until the first reply:
+	// every VM makes the first call, because it needs the current objects once.
 	since int64
 }
 
@@ -50,7 +50,7 @@
 			wait.For(ctx, inactivePause)
 			continue
 		}
-		err := w.once(ctx)
+		err := w.watchOnce(ctx)
 		if err == nil {
 			pause = watchRetryMin
 			continue
@@ -64,7 +64,7 @@
 	}
 }
 
-func (w *Watcher) once(ctx context.Context) error {
+func (w *Watcher) watchOnce(ctx context.Context) error {
 	changed, revision, err := w.Store.Watch(ctx, w.Purpose, w.Prefix, w.since, watchWait)
 	if err != nil {
 		return err
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// jitter spreads the watchers of a fleet that lost the store together, so that
-// its return is not answered by all of them at once.
+// jitter randomizes the retries of watchers that lost the store at the same time, so that they do
+// not all call it at once when it is available again.
 func (w *Watcher) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(w.Rand.Int64N(int64(d/2)+1))
 }
