--- a/control/link.go
+++ b/control/link.go
@@ -15,101 +15,102 @@
 // Dialer opens a control connection to the server id at addr (ip:port).
 type Dialer func(ctx context.Context, id target.ID, addr string) (target.Database, error)
 
-// Answer is a status with the instants that it lies between.
+// Answer is the reply to a status query with its send and receive times.
 type Answer struct {
 	Status target.Status
-	// Asked is when the ask was sent: the status is not older than that.
+	// Asked is when the query was sent: the status is not older than this.
 	Asked clock.Time
-	// Answered is when it came back.
+	// Answered is when the reply was received, or the query failed.
 	Answered clock.Time
 }
 
-// Listener is told of every ask, so that evidence is shared. answer.Status is
-// zero when err is set.
+// Listener is called with the result of every status query, so that its evidence is shared.
+// answer.Status is zero if err is set.
 type Listener func(id target.ID, answer Answer, err error)
 
 // Link is the control connection to one server. It is safe for use by many
 // goroutines.
 type Link struct {
-	id      target.ID
-	addr    string
-	dial    Dialer
-	clk     clock.Clock
-	timeout time.Duration
-	listen  Listener
-
-	// connMu serialises the use of db.
+	id       target.ID
+	addr     string
+	dial     Dialer
+	clk      clock.Clock
+	timeout  time.Duration
+	listener Listener
+
+	// connMu serializes the use of db.
 	connMu sync.Mutex
 	db     target.Database
 
-	// askMu guards next and asking.
-	askMu  sync.Mutex
-	next   *ask
-	asking bool
+	// queryMu guards next and querying.
+	queryMu  sync.Mutex
+	next     *statusQuery
+	querying bool
 }
 
-// ask is one status round trip that any number of callers wait for.
-type ask struct {
+// statusQuery is one status round trip that any number of callers wait for.
+type statusQuery struct {
 	done   chan struct{}
 	answer Answer
 	err    error
 }
 
-// NewLink returns a link that dials on first use. timeout bounds each call.
-func NewLink(id target.ID, addr string, dial Dialer, clk clock.Clock, timeout time.Duration, listen Listener) *Link {
-	return &Link{id: id, addr: addr, dial: dial, clk: clk, timeout: timeout, listen: listen}
+// NewLink returns a link that connects on first use. timeout limits each call.
+func NewLink(id target.ID, addr string, dial Dialer, clk clock.Clock, timeout time.Duration, listener Listener) *Link {
+	return &Link{id: id, addr: addr, dial: dial, clk: clk, timeout: timeout, listener: listener}
 }
 
-// Status returns an account that was asked for after the call began.
+// Status returns a status that was queried after the call began.
 func (l *Link) Status(ctx context.Context) (Answer, error) {
-	a := l.join()
+	q := l.joinNext()
 	select {
-	case <-a.done:
-		return a.answer, a.err
+	case <-q.done:
+		return q.answer, q.err
 	case <-ctx.Done():
 		return Answer{}, ctx.Err()
 	}
 }
 
-// join returns the next ask that has not been sent yet, and sees that it is.
-func (l *Link) join() *ask {
-	l.askMu.Lock()
-	defer l.askMu.Unlock()
+// joinNext returns the next query, which has not been sent yet, and starts run if it is not
+// running.
+func (l *Link) joinNext() *statusQuery {
+	l.queryMu.Lock()
+	defer l.queryMu.Unlock()
 	if l.next == nil {
-		l.next = &ask{done: make(chan struct{})}
+		l.next = &statusQuery{done: make(chan struct{})}
 	}
-	if !l.asking {
-		l.asking = true
+	if !l.querying {
+		l.querying = true
 		go l.run()
 	}
 	return l.next
 }
 
-// run sends asks until nobody waits for one.
+// run sends queries until no caller waits for one.
 func (l *Link) run() {
 	for {
-		a := l.take()
-		if a == nil {
+		q := l.takeNext()
+		if q == nil {
 			return
 		}
-		a.answer, a.err = l.askStatus()
-		if l.listen != nil {
-			l.listen(l.id, a.answer, a.err)
+		q.answer, q.err = l.queryStatus()
+		if l.listener != nil {
+			l.listener(l.id, q.answer, q.err)
 		}
-		close(a.done)
+		close(q.done)
 	}
 }
 
-func (l *Link) take() *ask {
-	l.askMu.Lock()
-	defer l.askMu.Unlock()
-	a := l.next
+func (l *Link) takeNext() *statusQuery {
+	l.queryMu.Lock()
+	defer l.queryMu.Unlock()
+	q := l.next
 	l.next = nil
-	l.asking = a != nil
-	return a
+	l.querying = q != nil
+	return q
 }
 
-func (l *Link) askStatus() (Answer, error) {
+func (l *Link) queryStatus() (Answer, error) {
 	var a Answer
 	err := l.with(func(ctx context.Context, db target.Database) error {
 		a.Asked = l.clk.Now()
@@ -124,7 +125,7 @@
 	return a, nil
 }
 
-// Fence orders the server to promise term.
+// Fence commands the server to promise term.
 func (l *Link) Fence(term timeline.Term) (st target.Status, err error) {
 	err = l.with(func(ctx context.Context, db target.Database) error {
 		st, err = db.Fence(ctx, term)
@@ -133,7 +134,7 @@
 	return st, err
 }
 
-// Promote orders the server to lead term.
+// Promote commands the server to become primary of term.
 func (l *Link) Promote(term timeline.Term) (st target.Status, err error) {
 	err = l.with(func(ctx context.Context, db target.Database) error {
 		st, err = db.Promote(ctx, term)
@@ -142,18 +143,19 @@
 	return st, err
 }
 
-// Follow orders the server to replicate from primary (ip:port) in term.
-func (l *Link) Follow(primary string, term timeline.Term) (es []target.Entry, err error) {
+// Follow commands the server to replicate from primary (ip:port) in term, and returns the entries
+// that the server discarded.
+func (l *Link) Follow(primary string, term timeline.Term) (discarded []target.Entry, err error) {
 	err = l.with(func(ctx context.Context, db target.Database) error {
-		es, err = db.Follow(ctx, primary, term)
+		discarded, err = db.Follow(ctx, primary, term)
 		return err
 	})
-	return es, err
+	return discarded, err
 }
 
-// with runs f on the connection within the timeout, and drops the connection
-// on an error that is not the server's own refusal: a late answer to a call
-// that was given up must not be read as the answer to the next one.
+// with runs f on the connection within the timeout. It closes the connection on an error other
+// than a refusal by the server, so that a late reply to a call that timed out is not read as the
+// reply to the next call.
 func (l *Link) with(f func(context.Context, target.Database) error) error {
 	l.connMu.Lock()
 	defer l.connMu.Unlock()
@@ -162,7 +164,7 @@
 	if l.db == nil {
 		db, err := l.dial(ctx, l.id, l.addr)
 		if err != nil {
-			return errors.Wrapf(err, "control connection to %s", l.id)
+			return errors.Wrapf(err, "open control connection to server %s", l.id)
 		}
 		l.db = db
 	}
@@ -185,7 +187,7 @@
 	l.db = nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (l *Link) Close() {
 	l.connMu.Lock()
 	defer l.connMu.Unlock()
--- a/control/link_test.go
+++ b/control/link_test.go
@@ -14,19 +14,19 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// stepDB answers a status only when the test lets it, and counts the asks.
+// stepDB replies to a status query only when the test releases it, and counts the queries.
 type stepDB struct {
 	target.Database
 	mu      sync.Mutex
 	lsn     timeline.LSN
-	asks    int
+	queries int
 	started chan struct{}
 	release chan struct{}
 }
 
 func (d *stepDB) Status(context.Context) (target.Status, error) {
 	d.mu.Lock()
-	d.asks++
+	d.queries++
 	st := target.Status{Term: 1, LSN: d.lsn}
 	d.mu.Unlock()
 	d.started <- struct{}{}
@@ -41,10 +41,10 @@
 	return NewLink("g-a", "127.0.0.1:1", dial, monotonic.New(), time.Minute, nil)
 }
 
-// A write commits at 7 while a status ask of position 6 is on the wire. If the
-// commit's gate took that answer it would judge the replica by a state from
-// before the commit. It must wait for an ask that was sent afterwards.
-func TestStatusNeverJoinsAnAskAlreadySent(t *testing.T) {
+// A write commits at position 7 while a status query is in flight that will return position 6. If
+// the write's gate used that reply, it would evaluate the replica's state from before the commit.
+// It must wait for a query that is sent afterwards.
+func TestStatusNeverJoinsAQueryInFlight(t *testing.T) {
 	db := &stepDB{lsn: 6, started: make(chan struct{}, 8), release: make(chan struct{})}
 	l := newStepLink(db)
 	first := make(chan Answer, 1)
@@ -56,19 +56,19 @@
 	db.mu.Unlock()
 	later := make(chan Answer, 20)
 	for range 20 {
-		a := l.join()
-		go func() { <-a.done; later <- a.answer }()
+		q := l.joinNext()
+		go func() { <-q.done; later <- q.answer }()
 	}
 	close(db.release)
 	require.Equal(t, timeline.LSN(6), (<-first).Status.LSN)
 	for range 20 {
 		require.Equal(t, timeline.LSN(7), (<-later).Status.LSN)
 	}
-	require.Equal(t, 2, db.asks, "twenty commits share one round trip")
+	require.Equal(t, 2, db.queries, "twenty commits share one round trip")
 }
 
-// A server is replaced and comes back at another address. Control must not go
-// on talking to the old one, which may be a superseded primary.
+// A server is replaced and is reachable at another address. Control must not stay connected to the
+// old address, which may belong to a superseded primary.
 func TestMovedServerGetsANewLink(t *testing.T) {
 	ls := NewLinks(nil, monotonic.New(), time.Second, nil)
 	old := ls.Of(view.Server{ID: "g-a", Addr: "127.0.0.1:1"})
--- a/control/links.go
+++ b/control/links.go
@@ -9,28 +9,27 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// DefaultTimeout bounds one control call. A server that takes longer counts
-// as silent, so that a frozen primary that still accepts TCP is found.
+// DefaultTimeout limits one control call. A server that does not reply within it counts as
+// unresponsive, so that a frozen primary that still accepts TCP connections is detected.
 const DefaultTimeout = 400 * time.Millisecond
 
-// Links holds a Link for each server that this daemon talks to.
+// Links holds a Link for each server that this daemon controls or queries.
 type Links struct {
-	dial    Dialer
-	clk     clock.Clock
-	timeout time.Duration
-	listen  Listener
+	dial     Dialer
+	clk      clock.Clock
+	timeout  time.Duration
+	listener Listener
 
 	mu    sync.Mutex
 	links map[target.ID]*Link
 }
 
-// NewLinks returns an empty set; links are made on first use.
-func NewLinks(dial Dialer, clk clock.Clock, timeout time.Duration, listen Listener) *Links {
-	return &Links{dial: dial, clk: clk, timeout: timeout, listen: listen, links: map[target.ID]*Link{}}
+// NewLinks returns an empty set. Links are created on first use.
+func NewLinks(dial Dialer, clk clock.Clock, timeout time.Duration, listener Listener) *Links {
+	return &Links{dial: dial, clk: clk, timeout: timeout, listener: listener, links: map[target.ID]*Link{}}
 }
 
-// Of returns the link to s. A server that moved to another address gets a new
-// link.
+// Of returns the link to s. A server whose address has changed gets a new link.
 func (ls *Links) Of(s view.Server) *Link {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -41,12 +40,12 @@
 	if l != nil {
 		go l.Close()
 	}
-	l = NewLink(s.ID, s.Addr, ls.dial, ls.clk, ls.timeout, ls.listen)
+	l = NewLink(s.ID, s.Addr, ls.dial, ls.clk, ls.timeout, ls.listener)
 	ls.links[s.ID] = l
 	return l
 }
 
-// Close ends all links.
+// Close closes all links.
 func (ls *Links) Close() {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
