--- a/control/traffic/traffic.go
+++ b/control/traffic/traffic.go
@@ -1,7 +1,7 @@
-// Package traffic counts the bytes that a daemon's control spends on the
-// network, by plane: to peers, to the platform and on control connections to
-// targets. The count is taken below TLS, so it is what the network carries,
-// without the headers of TCP and IP. Callers' own traffic is not in it.
+// Package traffic counts the bytes that a daemon sends and receives for control, by plane: to
+// peers, to the platform and on control connections to targets. Bytes are counted below TLS, so
+// the count is what the network carries without TCP and IP headers. Begin with Meter, whose Dial
+// and Listen return counted connections. The traffic of callers is not counted.
 package traffic
 
 import (
@@ -11,19 +11,19 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Planes of the control.
+// Planes of control traffic.
 const (
 	Peers    = "peers"
 	Platform = "platform"
 	Targets  = "targets"
 )
 
-// Meter makes connections that count.
+// Meter creates connections that count their bytes.
 type Meter struct {
 	bytes *prometheus.CounterVec
 }
 
-// NewMeter returns a meter with its metric endivemoor_control_bytes_total.
+// NewMeter returns a meter and registers its metric endivemoor_control_bytes_total.
 func NewMeter(r prometheus.Registerer) (*Meter, error) {
 	m := &Meter{bytes: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "endivemoor_control_bytes_total",
@@ -32,7 +32,7 @@
 	return m, r.Register(m.bytes)
 }
 
-// Dial returns a dial function of the plane.
+// Dial returns a dial function whose connections are counted for the plane.
 func (m *Meter) Dial(plane string, d *net.Dialer) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := d.DialContext(ctx, network, addr)
@@ -43,7 +43,7 @@
 	}
 }
 
-// Listen returns ln with its connections counted.
+// Listen returns a listener whose connections are counted for the plane.
 func (m *Meter) Listen(plane string, ln net.Listener) net.Listener { return &listener{ln, m, plane} }
 
 func (m *Meter) conn(plane string, c net.Conn) net.Conn {
--- a/control/traffic/traffic_test.go
+++ b/control/traffic/traffic_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An operator compares a VM's control with its allowance. Were only one end or
-// one direction counted, a VM that serves more than it asks would look idle.
+// An operator compares a VM's control traffic with its limit. If only one end or one direction
+// were counted, a VM that answers more calls than it makes would look idle.
 func TestBothEndsCountBothDirections(t *testing.T) {
 	m, err := NewMeter(prometheus.NewRegistry())
 	require.NoError(t, err)
