--- a/view/view.go
+++ b/view/view.go
@@ -1,8 +1,8 @@
-// Package view is the immutable picture of the fleet that requests read: one
-// atomic load gives a consistent set of groups, profiles and drains. The
-// controllers build a new View for each change and swap it in (read-copy-
-// update), so the request path takes no lock. Fast-moving evidence, such as a
-// replica's position, is not here but in routing's board.
+// Package view provides the immutable state of the fleet that requests read: one atomic load
+// returns a consistent set of groups, profiles and drains. The controllers build a new View for
+// each change and publish it through a Holder (read-copy-update), so the request path takes no
+// lock. Evidence that changes with every status reply, such as a replica's position, is not part
+// of a View; it is in routing.Tracker.
 package view
 
 import (
@@ -21,27 +21,27 @@
 	Zone string    `json:"zone"`
 }
 
-// Group is one database group, as last agreed. It is the value of the platform
-// object "groups/<name>".
+// Group is the last agreed state of one database group. It is the value of the platform object
+// "groups/<name>".
 type Group struct {
 	Name string `json:"name"`
 	// Term is the newest term that has a primary.
 	Term timeline.Term `json:"term"`
-	// Primary is the server promoted at Term.
+	// Primary is the server that was promoted at Term.
 	Primary target.ID `json:"primary"`
-	// Reserved is the highest term given out to a promoter, at least Term.
+	// Reserved is the highest term reserved for a promotion, at least Term.
 	Reserved timeline.Term `json:"reserved"`
-	// ReservedBy is the VM that may promote at Reserved.
+	// ReservedBy is the VM that may make the promotion at Reserved.
 	ReservedBy string `json:"reserved_by,omitempty"`
 	// History holds the start of every term.
 	History timeline.History `json:"history"`
 	Servers []Server         `json:"servers"`
-	// Version is the version of the platform object that this was read from;
-	// 0 if a peer or an own promotion brought it.
+	// Version is the version of the platform object that this was read from, or 0 if it came from
+	// a peer or from a promotion by this VM.
 	Version int64 `json:"-"`
 }
 
-// Server returns the server with the id, or nil.
+// Server returns the server with the ID, or nil.
 func (g *Group) Server(id target.ID) *Server {
 	for i := range g.Servers {
 		if g.Servers[i].ID == id {
@@ -51,17 +51,17 @@
 	return nil
 }
 
-// View is one immutable picture.
+// View is one immutable state of the fleet.
 type View struct {
 	Groups   map[string]*Group
 	Profiles *profile.Set
-	// Draining marks targets that take no new work.
+	// Draining holds the targets that accept no new work.
 	Draining map[target.ID]bool
-	// FleetSize is the number of VMs believed to be live, at least 1.
+	// FleetSize is the number of VMs that are considered live, at least 1.
 	FleetSize int
 }
 
-// Holder publishes Views.
+// Holder publishes the current View.
 type Holder struct {
 	p atomic.Pointer[View]
 }
@@ -73,11 +73,11 @@
 	return h
 }
 
-// Load returns the current view; it must not be changed.
+// Load returns the current view, which must not be modified.
 func (h *Holder) Load() *View { return h.p.Load() }
 
-// Update swaps in the view that f makes of the current one. f may run more
-// than once and must only change its copy; maps are to be cloned first.
+// Update replaces the current view by a copy that f has changed. f may run more than once and must
+// change only the copy that it receives; it must clone maps before it changes them.
 func (h *Holder) Update(f func(v *View)) {
 	for {
 		old := h.p.Load()
@@ -89,10 +89,9 @@
 	}
 }
 
-// Newer reports whether g replaces old: a later term always does; within a term
-// a later version of the store's object, and then a higher reservation. State
-// therefore only moves forward, whatever order the store, the peers and this
-// VM's own promotions report it in.
+// Newer reports whether g replaces old: a later term always does; within a term, a later version
+// of the store's object does, and then a higher reservation. The state therefore never goes back,
+// in whatever order the store, the peers and this VM's own promotions report it.
 func (g *Group) Newer(old *Group) bool {
 	switch {
 	case old == nil:
@@ -106,7 +105,7 @@
 	}
 }
 
-// Adopt swaps in group if it is newer than what the view has, and reports if it
+// Adopt puts group into the view if it is newer than the group in the view, and reports whether it
 // was.
 func (h *Holder) Adopt(group *Group) bool {
 	adopted := false
--- a/view/view_test.go
+++ b/view/view_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A peer that was cut off for an hour comes back and announces the group as it
-// was. The present view must not go back to the superseded primary.
+// A peer that was partitioned for an hour reconnects and sends the outdated state of the group.
+// The view must not return to the superseded primary.
 func TestAdoptNeverGoesBack(t *testing.T) {
 	h := NewHolder()
 	require.True(t, h.Adopt(&Group{Name: "g", Term: 3, Primary: "b"}))
