--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -11,19 +11,19 @@
 	"endivemoor.example/endivemoor/peer/peerpb"
 )
 
-// BenchmarkExchange shows what one exchange costs the caller over mutual TLS, in
-// time and in bytes both ways: over a kept connection, and when the partner is
-// one of thousands and a connection has to be opened for it.
+// BenchmarkExchange measures the cost of one exchange to the calling VM over mutual TLS, in time
+// and in bytes in both directions: over a reused connection, and with a new connection, as for a
+// partner that is one of thousands.
 func BenchmarkExchange(b *testing.B) {
-	for _, kept := range []bool{true, false} {
-		name := map[bool]string{true: "kept", false: "opened"}[kept]
-		b.Run(name, func(b *testing.B) { benchExchange(b, kept) })
+	for _, reused := range []bool{true, false} {
+		name := map[bool]string{true: "reused", false: "opened"}[reused]
+		b.Run(name, func(b *testing.B) { benchExchange(b, reused) })
 	}
 }
 
-func benchExchange(b *testing.B, kept bool) {
+func benchExchange(b *testing.B, reused bool) {
 	fleet := newAuthority(b)
-	addr := serve(b, &echo{}, fleet.config(b))
+	addr := serve(b, &countingHandler{}, fleet.config(b))
 	metrics := prometheus.NewRegistry()
 	meter, err := traffic.NewMeter(metrics)
 	require.NoError(b, err)
@@ -33,7 +33,7 @@
 	for b.Loop() {
 		_, err := clients.At(addr).Exchange(context.Background(), req)
 		require.NoError(b, err)
-		if !kept {
+		if !reused {
 			clients.transport.CloseIdleConnections()
 		}
 	}
--- a/peer/client.go
+++ b/peer/client.go
@@ -22,18 +22,18 @@
 	maxRequestBytes = 2 << 20
 )
 
-// Clients makes and keeps a client for each peer address.
+// Clients creates and caches a client for each peer address.
 type Clients struct {
 	http      *http.Client
 	transport *http.Transport
 	scheme    string
 
-	mu   sync.Mutex
-	byIP map[string]peerpb.Peer
+	mu     sync.Mutex
+	byAddr map[string]peerpb.Peer
 }
 
-// NewClients returns an empty set. A nil config speaks plain HTTP, which is
-// for stand-ins on one machine only.
+// NewClients returns an empty set. With a nil config the clients use plain HTTP, which is only for
+// stand-ins on one machine.
 func NewClients(config *tls.Config) *Clients {
 	tr := &http.Transport{
 		TLSClientConfig:     config,
@@ -42,48 +42,47 @@
 		MaxIdleConns:        maxIdlePeers,
 		MaxIdleConnsPerHost: connsPerPeer,
 		IdleConnTimeout:     idleTimeout,
-		// Messages are small; offering gzip would only add a header to each.
+		// Messages are small, so gzip would only add a header to each.
 		DisableCompression: true,
 	}
 	scheme := "http://"
 	if config != nil {
 		scheme = "https://"
 	}
-	return &Clients{http: &http.Client{Transport: terse.Transport{RoundTripper: tr}}, transport: tr, scheme: scheme, byIP: map[string]peerpb.Peer{}}
+	return &Clients{http: &http.Client{Transport: terse.Transport{RoundTripper: tr}}, transport: tr, scheme: scheme, byAddr: map[string]peerpb.Peer{}}
 }
 
-// DialBy makes the clients connect by dial. It must be called before At.
+// DialBy sets the function that the clients use to connect. It must be called before At.
 func (c *Clients) DialBy(dial func(ctx context.Context, network, addr string) (net.Conn, error)) {
 	c.transport.DialContext = dial
 }
 
-// Dialer returns the dialer that connections are made with.
+// Dialer returns the default dialer of the clients.
 func Dialer() *net.Dialer { return &net.Dialer{Timeout: dialTimeout} }
 
-// At returns the client of the daemon that serves peers at addr (ip:port).
+// At returns the client of the daemon that serves its peers at addr (ip:port).
 func (c *Clients) At(addr string) peerpb.Peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.byIP[addr]
+	p := c.byAddr[addr]
 	if p == nil {
-		c.makeRoom()
+		c.evictExcess()
 		p = peerpb.NewPeerProtobufClient(c.scheme+addr, c.http)
-		c.byIP[addr] = p
+		c.byAddr[addr] = p
 	}
 	return p
 }
 
-// maxClients bounds the clients kept: 770 VMs are replaced on an ordinary day,
-// each at a new address. One that is made anew costs nothing, for connections
-// belong to the transport.
+// maxClients limits the cached clients: 770 VMs are replaced on an ordinary day, each at a new
+// address. Creating a client again is cheap, because the transport owns the connections.
 const maxClients = 512
 
-// makeRoom forgets any one client once there are too many.
-func (c *Clients) makeRoom() {
-	for addr := range c.byIP {
-		if len(c.byIP) < maxClients {
+// evictExcess removes arbitrary clients until there is room for one more.
+func (c *Clients) evictExcess() {
+	for addr := range c.byAddr {
+		if len(c.byAddr) < maxClients {
 			return
 		}
-		delete(c.byIP, addr)
+		delete(c.byAddr, addr)
 	}
 }
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -9,7 +9,7 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// GroupState returns the message form of a group.
+// GroupState converts a group to its message.
 func GroupState(g *view.Group) *peerpb.GroupState {
 	out := &peerpb.GroupState{
 		Name:       g.Name,
@@ -28,7 +28,7 @@
 	return out
 }
 
-// Group returns the group that in describes.
+// Group converts a message to its group.
 func Group(in *peerpb.GroupState) *view.Group {
 	out := &view.Group{
 		Name:       in.GetName(),
@@ -47,8 +47,8 @@
 	return out
 }
 
-// Observation returns the message form of one server's newest good answer; a
-// nil status says that there was none in all the time of age.
+// Observation converts a server's newest successful status reply, of the given age, to its
+// message. A nil status states that the server has not replied at all for the time age.
 func Observation(group string, id target.ID, st *target.Status, age time.Duration) *peerpb.Observation {
 	if st == nil {
 		return &peerpb.Observation{Group: group, Server: string(id), Never: true, GoodAgeMs: uint64(max(age, 0).Milliseconds())}
@@ -65,7 +65,7 @@
 	}
 }
 
-// Status returns what an observation says of its server.
+// Status returns the status of the server that o describes.
 func Status(o *peerpb.Observation) target.Status {
 	return target.Status{
 		Server:   target.ID(o.GetServer()),
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,8 +1,8 @@
-// Package peer connects the daemons of one fleet over twirp (protobuf over
-// HTTP, with mutual TLS when keys are set). What travels is in
-// peerpb/peer.proto; what it means is decided by the controllers behind the
-// Handler interface.
+// Package peer connects the daemons of one fleet over Twirp (protobuf over HTTP, with mutual TLS
+// if keys are set). Begin with Clients and NewServer. The messages are defined in
+// peerpb/peer.proto. The package does not interpret them: the controllers behind the Handler
+// interface do.
 //
-// Nothing here is all-to-all: an exchange goes to a bounded number of chosen
-// VMs, and news travels on from those.
+// No communication is all-to-all: an exchange goes to a bounded number of chosen VMs, which
+// forward the updates.
 package peer
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -17,7 +17,7 @@
 	"endivemoor.example/endivemoor/peer/peerpb"
 )
 
-// authority signs certificates of one fleet.
+// authority signs the certificates of one fleet.
 type authority struct {
 	key  *ecdsa.PrivateKey
 	cert *x509.Certificate
@@ -55,15 +55,17 @@
 	}
 }
 
-// echo counts exchanges.
-type echo struct{ exchanges int }
+// countingHandler counts exchanges.
+type countingHandler struct{ exchanges int }
 
-func (e *echo) OnExchange(context.Context, *peerpb.ExchangeRequest) *peerpb.ExchangeReply {
+func (e *countingHandler) OnExchange(context.Context, *peerpb.ExchangeRequest) *peerpb.ExchangeReply {
 	e.exchanges++
 	return &peerpb.ExchangeReply{Generation: 7}
 }
-func (e *echo) OnObserve(*peerpb.ObserveRequest) *peerpb.ObserveReply { return &peerpb.ObserveReply{} }
-func (e *echo) OnCancel(uint32, []byte) bool                          { return true }
+func (e *countingHandler) OnObserve(*peerpb.ObserveRequest) *peerpb.ObserveReply {
+	return &peerpb.ObserveReply{}
+}
+func (e *countingHandler) OnCancel(uint32, []byte) bool { return true }
 
 func serve(t testing.TB, h Handler, config *tls.Config) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -74,12 +76,12 @@
 	return ln.Addr().String()
 }
 
-// A stranger on the network announces a primary of a later term. Every proxy
-// would send its writes there. Only holders of a certificate of the fleet's
-// authority may speak to a daemon.
+// An unauthorized client on the network announces a primary of a later term, and every proxy would
+// send its writes there. A daemon must accept calls only from holders of a certificate that the
+// fleet's authority signed.
 func TestOnlyTheFleetMayExchange(t *testing.T) {
 	fleet := newAuthority(t)
-	h := &echo{}
+	h := &countingHandler{}
 	addr := serve(t, h, fleet.config(t))
 	req := &peerpb.ExchangeRequest{Sender: &peerpb.Member{Vm: "p1", Addr: "127.0.0.1:1"}}
 
@@ -87,9 +89,9 @@
 	require.NoError(t, err)
 	require.Equal(t, uint64(7), reply.GetGeneration())
 
-	stranger := newAuthority(t).config(t)
-	stranger.RootCAs = fleet.config(t).RootCAs
-	_, err = NewClients(stranger).At(addr).Exchange(context.Background(), req)
+	unauthorized := newAuthority(t).config(t)
+	unauthorized.RootCAs = fleet.config(t).RootCAs
+	_, err = NewClients(unauthorized).At(addr).Exchange(context.Background(), req)
 	require.Error(t, err)
 	_, err = NewClients(nil).At(addr).Exchange(context.Background(), req)
 	require.Error(t, err)
@@ -97,7 +99,7 @@
 }
 
 func TestExchangeNeedsASender(t *testing.T) {
-	addr := serve(t, &echo{}, nil)
+	addr := serve(t, &countingHandler{}, nil)
 	_, err := NewClients(nil).At(addr).Exchange(context.Background(), &peerpb.ExchangeRequest{})
 	require.ErrorContains(t, err, "sender.vm")
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -12,18 +12,19 @@
 	"endivemoor.example/endivemoor/peer/peerpb"
 )
 
-// Handler decides on what peers send. It is called from many goroutines.
+// Handler processes the messages of peers. It is called from many goroutines.
 type Handler interface {
-	// OnExchange merges what the sender knows and returns what we know.
+	// OnExchange merges the sender's state and returns the state of this VM.
 	OnExchange(ctx context.Context, in *peerpb.ExchangeRequest) *peerpb.ExchangeReply
-	// OnObserve returns our own evidence of a group's servers.
+	// OnObserve returns this VM's own evidence of a group's servers.
 	OnObserve(in *peerpb.ObserveRequest) *peerpb.ObserveReply
-	// OnCancel cancels one of our callers' statements.
+	// OnCancel cancels the running statement of a session of this VM, and reports whether it found
+	// the session.
 	OnCancel(process uint32, secret []byte) bool
 }
 
-// service adapts a Handler to the generated interface and refuses senders
-// without an identity.
+// service adapts a Handler to the generated interface and refuses senders without an ID or
+// address.
 type service struct {
 	h Handler
 }
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// NewServer returns an HTTP server of the peer service. A config asks every
-// peer for a certificate of the fleet's authority.
+// NewServer returns an HTTP server of the peer service. A non-nil config enables TLS and must
+// require from every client a certificate of the fleet's authority.
 func NewServer(h Handler, config *tls.Config) *http.Server {
 	handler := terse.Handler(http.MaxBytesHandler(peerpb.NewPeerServer(service{h}), maxRequestBytes))
 	return &http.Server{
@@ -71,7 +72,7 @@
 	}
 }
 
-// Serve runs srv on ln, with TLS when it is configured.
+// Serve runs srv on ln, with TLS if it is configured.
 func Serve(srv *http.Server, ln net.Listener) error {
 	if srv.TLSConfig != nil {
 		return srv.ServeTLS(ln, "", "")
