--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -18,11 +18,11 @@
 	"endivemoor.example/endivemoor/routing"
 )
 
-// maxQueued bounds the requests that wait for one server. It only guards
-// memory: long before, a request is refused because its deadline cannot be met.
+// maxQueued limits the requests that wait for one server. It only protects memory: long before the
+// queue is this long, a request is refused because its deadline cannot be met.
 const maxQueued = 4096
 
-// controlPerServer is the number of connections kept for control at a server.
+// controlPerServer is the number of connections reserved for control at each server.
 const controlPerServer = 1
 
 func (d *daemon) buildCallers() error {
@@ -30,17 +30,17 @@
 	if err != nil {
 		return err
 	}
-	d.feeder = &controller.Feeder{
+	d.statusPoller = &controller.Feeder{
 		Clock:  d.clk,
 		Views:  d.views,
 		Links:  d.links,
-		Duty:   d.duty,
-		Router: routing.NewRouter(d.board, routing.Evidence{}, newRand().Uint64()),
+		Duty:   d.assignment,
+		Router: routing.NewRouter(d.tracker, routing.Evidence{}, newRand().Uint64()),
 	}
 	cfg := proxy.Config{
 		View:         d.views,
-		Router:       d.feeder,
-		Board:        d.board,
+		Router:       d.statusPoller,
+		Board:        d.tracker,
 		Limiter:      d.newLimiter(),
 		Pool:         connections,
 		Tokens:       d.tokens,
@@ -96,7 +96,7 @@
 	})
 }
 
-// requestSink keeps requests' records for explain.
+// requestSink stores the records of requests for explain.
 type requestSink struct{ ring *explain.Ring }
 
 // Record implements filter.Sink.
--- a/daemon/command.go
+++ b/daemon/command.go
@@ -18,7 +18,7 @@
 	"endivemoor.example/endivemoor/settings"
 )
 
-// Version is set by the build.
+// Version is the version of the program. The build sets it.
 var Version = "dev"
 
 // Exit codes of the command.
@@ -28,7 +28,7 @@
 	exitBadInput = 2
 )
 
-// commands is the command line.
+// commands defines the command line.
 type commands struct {
 	Edge        edgeCommand   `cmd:"" help:"Run the daemon on the platform, with the settings file that it lays out, until SIGTERM."`
 	Serve       serveCommand  `cmd:"" help:"Run the daemon until SIGTERM, then shut down gracefully."`
@@ -49,8 +49,8 @@
 
 type versionCmd struct{}
 
-// Main runs the command line and returns the exit code: 0 done, 1 failed, 2
-// bad arguments or settings.
+// Main runs the command line and returns the exit code: 0 on success, 1 on failure, 2 for invalid
+// arguments or settings.
 func Main(args []string) int {
 	var cli commands
 	parser, err := kong.New(&cli, kong.Name("endivemoor"), kong.Description("Database proxy with session consistency."))
@@ -77,7 +77,7 @@
 	return exitFailed
 }
 
-// edgeCommand has no argument: the platform names the settings file in the
+// edgeCommand has no argument: the platform passes the path of the settings file in the
 // environment.
 type edgeCommand struct {
 	MetricsPort int    `default:"9464" help:"Port on this VM's address that serves /metrics; 0 serves none."`
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -37,24 +37,24 @@
 		Config:   d.config,
 		Clients:  d.clients,
 		Store:    d.store,
-		Duty:     d.duty,
+		Duty:     d.assignment,
 		Drains:   d.drains,
 		Log:      d.log,
 		OnGroup:  func(g *view.Group) { d.manager.OnPeerGroup(g) },
 		OnDrain:  func(id target.ID, draining bool, rev int64) { d.manager.OnDrain(id, draining, rev) },
-		OnChange: d.onMembers,
-		Machine:  membership.New(membership.Config{Interval: exchangeEvery, Incarnation: d.incarnation, Seed: rng.Uint64()}, self),
+		OnChange: d.onMembersChanged,
+		Machine:  membership.New(membership.Config{Interval: exchangeInterval, Incarnation: d.incarnation, Seed: rng.Uint64()}, self),
 		Rand:     rng,
 	})
 	d.peers = peer.NewServer(&peerHandler{d}, server)
 	return nil
 }
 
-// onMembers takes a change of the live VMs.
-func (d *daemon) onMembers(live []membership.VM) {
+// onMembersChanged applies a change of the live VMs.
+func (d *daemon) onMembersChanged(live []membership.VM) {
 	d.log.Info("members_changed", zap.Int("live", len(live)))
 	d.views.Update(func(v *view.View) { v.FleetSize = max(1, len(live)) })
-	d.duty.Update(live)
+	d.assignment.Update(live)
 	d.manager.Reassign()
 }
 
@@ -84,8 +84,8 @@
 		Failover: d.failoverConfig(),
 		Serve:    d.set.VM.Groups,
 		Drains:   d.drains,
-		Duty:     d.duty,
-		Forget:   d.board.Forget,
+		Duty:     d.assignment,
+		Forget:   d.tracker.Forget,
 		Dropped:  dropped.Inc,
 	}
 	return nil
@@ -109,7 +109,7 @@
 	return pgtarget.DialBy(ctx, id, d.connString(addr, controlDatabase), dial)
 }
 
-// connString is the login to a server as a URL.
+// connString returns the connection URL of a server, with the login.
 func (d *daemon) connString(addr, database string) string {
 	query := url.Values{"sslmode": {d.set.Targets.TLS}}
 	if d.set.Targets.CA != "" {
@@ -125,19 +125,19 @@
 	return u.String()
 }
 
-// onAnswer shares what every control call showed.
+// onAnswer records the result of every control query as evidence and for routing.
 func (d *daemon) onAnswer(id target.ID, a control.Answer, err error) {
 	d.evidence.Add(id, a, err)
 	if err != nil {
 		return
 	}
-	d.board.Observe(id, a.Status, a.Asked, a.Answered)
+	d.tracker.Observe(id, a.Status, a.Asked, a.Answered)
 	if a.Status.Role != target.RolePrimary {
 		return
 	}
 	for name, g := range d.views.Load().Groups {
 		if g.Primary == id && g.Term == a.Status.Term {
-			d.board.ObservePrimary(name, a.Status.Position(), a.Asked)
+			d.tracker.ObservePrimary(name, a.Status.Position(), a.Asked)
 		}
 	}
 }
--- a/daemon/control_test.go
+++ b/daemon/control_test.go
@@ -9,8 +9,8 @@
 	"endivemoor.example/endivemoor/settings"
 )
 
-// An operator asks for TLS to the database servers. A login that fell back to
-// clear text would show its password's proof and every purchase to the network.
+// An operator requires TLS to the database servers. If the login fell back to clear text, the
+// network could read the proof of the password and every purchase.
 func TestTargetLoginAsksForTLSWithoutFallback(t *testing.T) {
 	d := &daemon{set: &settings.Settings{Targets: settings.Targets{User: "e", Password: "p@ss/word", TLS: "require"}}}
 	cfg, err := pgconn.ParseConfig(d.connString("127.0.0.1:5432", controlDatabase))
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -32,53 +32,52 @@
 )
 
 const (
-	// exchangeEvery is the interval of exchanges with peers.
-	exchangeEvery = 500 * time.Millisecond
-	// keepRequests and keepPromotions bound what explain can show.
-	keepRequests   = 4096
-	keepPromotions = 256
-	// flushTimeout bounds the audit trail's last write.
+	// exchangeInterval is the interval of exchanges with peers.
+	exchangeInterval = 500 * time.Millisecond
+	// maxRequestRecords and maxPromotionRecords limit what explain can show.
+	maxRequestRecords   = 4096
+	maxPromotionRecords = 256
+	// flushTimeout limits the audit trail's last write.
 	flushTimeout = 3 * time.Second
-	// notReadyFirst is how long connections are still taken once /readyz has
-	// refused: the balancer needs a moment to notice.
-	notReadyFirst = time.Second
+	// notReadyPeriod is how long connections are still accepted after /readyz has begun to refuse,
+	// so that the balancer has time to notice.
+	notReadyPeriod = time.Second
 )
 
-// daemon is one running process.
+// daemon holds the components of one running process.
 type daemon struct {
-	set         *settings.Settings
-	incarnation uint64
-	log         *zap.Logger
-	level       zap.AtomicLevel
-	cert        *proxy.Certificate
-	clk         *monotonic.Clock
-	metrics     *prometheus.Registry
-	views       *view.Holder
-	board       *routing.Board
-	evidence    *controller.Evidence
-	links       *control.Links
-	traffic     *traffic.Meter
-	store       *client.Client
-	clients     *peer.Clients
-	config      *controller.Configuration
-	drains      *controller.Drains
-	tokens      *session.Keys
-	users       *users
-	trail       *auditlog.Recorder
-	requests    *explain.Ring
-	promotions  *explain.Ring
-	manager     *controller.Manager
-	exchange    *controller.Exchange
-	duty        *controller.Duty
-	feeder      *controller.Feeder
-	callers     *proxy.Server
-	peers       *http.Server
-	admin       *http.Server
-	draining    atomic.Bool
+	set          *settings.Settings
+	incarnation  uint64
+	log          *zap.Logger
+	level        zap.AtomicLevel
+	cert         *proxy.Certificate
+	clk          *monotonic.Clock
+	metrics      *prometheus.Registry
+	views        *view.Holder
+	tracker      *routing.Board
+	evidence     *controller.Evidence
+	links        *control.Links
+	traffic      *traffic.Meter
+	store        *client.Client
+	clients      *peer.Clients
+	config       *controller.Configuration
+	drains       *controller.Drains
+	tokens       *session.Keys
+	users        *users
+	trail        *auditlog.Recorder
+	requests     *explain.Ring
+	promotions   *explain.Ring
+	manager      *controller.Manager
+	exchange     *controller.Exchange
+	assignment   *controller.Duty
+	statusPoller *controller.Feeder
+	callers      *proxy.Server
+	peers        *http.Server
+	admin        *http.Server
+	draining     atomic.Bool
 }
 
-// Run serves with the settings in the file until ctx ends, then shuts down
-// gracefully.
+// Run serves with the settings in the file at path until ctx ends, then shuts down gracefully.
 func Run(ctx context.Context, path string) error {
 	s, err := settings.Load(path)
 	if err != nil {
@@ -106,11 +105,11 @@
 		clk:         monotonic.New(),
 		metrics:     prometheus.NewRegistry(),
 		views:       view.NewHolder(),
-		board:       routing.NewBoard(),
+		tracker:     routing.NewBoard(),
 		evidence:    controller.NewEvidence(),
-		requests:    explain.NewRing(keepRequests),
-		promotions:  explain.NewRing(keepPromotions),
-		duty:        controller.NewDuty(membership.VM{ID: s.VM.ID, Zone: s.VM.Zone, Addr: s.Listen.Peers}),
+		requests:    explain.NewRing(maxRequestRecords),
+		promotions:  explain.NewRing(maxPromotionRecords),
+		assignment:  controller.NewDuty(membership.VM{ID: s.VM.ID, Zone: s.VM.Zone, Addr: s.Listen.Peers}),
 	}
 	d.metrics.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	d.config = controller.NewConfiguration(d.views, log)
@@ -147,7 +146,7 @@
 	return err
 }
 
-// incarnationName names this run of the daemon in leases and reservations.
+// incarnationName returns the name of this run of the daemon in leases and reservations.
 func (d *daemon) incarnationName() string {
 	return fmt.Sprintf("%s-%x", d.set.VM.ID, d.incarnation)
 }
@@ -156,7 +155,7 @@
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	failed := make(chan error, 3)
-	// A peer may bring groups as soon as its endpoint listens.
+	// A peer may send groups as soon as the peer endpoint listens.
 	d.manager.Start(work)
 	if err := d.listen(failed); err != nil {
 		return err
@@ -174,7 +173,7 @@
 	return err
 }
 
-// listen binds all endpoints before any is served.
+// listen binds all endpoints before it serves any of them.
 func (d *daemon) listen(failed chan<- error) error {
 	serve := []struct {
 		addr string
@@ -206,9 +205,9 @@
 	for _, w := range d.watchers() {
 		go w.Run(ctx)
 	}
-	go d.exchange.Run(ctx, exchangeEvery)
+	go d.exchange.Run(ctx, exchangeInterval)
 	go d.manager.RunDrains(ctx)
-	go d.feeder.Run(ctx, d.set.Failover.Heartbeat)
+	go d.statusPoller.Run(ctx, d.set.Failover.Heartbeat)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -217,12 +216,12 @@
 	return done
 }
 
-// shutDown follows the order of the package comment.
+// shutDown follows the order given in the package comment.
 func (d *daemon) shutDown(work context.Context) error {
 	d.log.Info("drain_started")
 	d.draining.Store(true)
 	d.exchange.Leave(work)
-	time.Sleep(notReadyFirst)
+	time.Sleep(notReadyPeriod)
 	ctx, cancel := context.WithTimeout(work, d.set.Callers.DrainTimeout)
 	defer cancel()
 	err := d.callers.Drain(ctx)
@@ -232,7 +231,7 @@
 	return err
 }
 
-// ready is what the balancer is told.
+// ready reports whether the balancer may send connections, and the reason if not.
 func (d *daemon) ready() (bool, string) {
 	v := d.views.Load()
 	switch {
@@ -258,7 +257,7 @@
 }
 
 func (d *daemon) watchers() []*controller.Watcher {
-	return append(d.manager.Watchers(d.duty.Watches), d.profileWatcher())
+	return append(d.manager.Watchers(d.assignment.Watches), d.profileWatcher())
 }
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
--- a/daemon/doc.go
+++ b/daemon/doc.go
@@ -1,9 +1,9 @@
-// Package daemon puts one proxy process together: settings in, controllers and
-// the callers' server started, SIGTERM turned into a graceful shutdown. It
-// decides nothing itself.
+// Package daemon assembles one proxy process: it loads the settings, starts the controllers and
+// the server for callers, and turns SIGTERM into a graceful shutdown. Begin with Main and Run. It
+// makes no decisions itself.
 //
-// The order of a shutdown matters. First /readyz refuses, while connections are
-// still taken, so that the balancer stops sending new ones; then the peers hear
-// that this VM leaves; then the callers' side drains, and only when no request
-// runs any more do the controllers stop: a write in flight still needs the gate.
+// The order of a shutdown matters. First /readyz refuses while connections are still accepted, so
+// that the balancer stops sending new ones, and peers are informed that this VM is leaving. Then
+// the server for callers drains. Only when no request is running do the controllers stop, because
+// a write in progress still needs the gate.
 package daemon
--- a/daemon/log.go
+++ b/daemon/log.go
@@ -11,8 +11,7 @@
 	"endivemoor.example/endivemoor/settings"
 )
 
-// newLog returns the daemon's logger, and its level, which can be changed while
-// the daemon runs.
+// newLog returns the daemon's logger and its level, which can be changed while the daemon runs.
 func newLog(s *settings.Settings) (*zap.Logger, zap.AtomicLevel, error) {
 	level, err := zapcore.ParseLevel(s.Log.Level)
 	if err != nil {
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -30,12 +30,12 @@
 	return h.d.callers.Cancel(context.Background(), process, secret)
 }
 
-// nodeOf is a VM's part of the process ids that callers get, so that a cancel
-// request that the balancer sends elsewhere finds its way.
+// nodeOf returns a VM's part of the process IDs that its callers receive. It routes a cancel
+// request that the balancer sends to another VM.
 func nodeOf(vm string) uint16 { return uint16(xxhash.Sum64String(vm)) }
 
-// remoteCancel forwards a cancel request to the VMs with the process id's node
-// part: one, or few when hashes collide.
+// remoteCancel forwards a cancel request to the VMs with the node part of the process ID: usually
+// one, or a few if hashes collide.
 func (d *daemon) remoteCancel(ctx context.Context, pid uint32, secret []byte) {
 	node := uint16(pid >> 16)
 	for _, vm := range d.exchange.Live() {
--- a/daemon/profiles.go
+++ b/daemon/profiles.go
@@ -11,14 +11,14 @@
 	"endivemoor.example/endivemoor/store"
 )
 
-// profileWatcher puts published sets in force.
+// profileWatcher returns the watcher that puts published sets in force.
 func (d *daemon) profileWatcher() *controller.Watcher {
 	return &controller.Watcher{
 		Store:   d.store,
 		Purpose: store.PurposeProfile,
 		Prefix:  pubstore.CurrentKey,
 		Handle:  d.onProfiles,
-		Active:  d.duty.Watches,
+		Active:  d.assignment.Watches,
 		Rand:    newRand(),
 		Log:     d.log,
 	}
--- a/daemon/reload.go
+++ b/daemon/reload.go
@@ -13,7 +13,7 @@
 	"endivemoor.example/endivemoor/settings"
 )
 
-// reloadOnHangup reads the settings file again on each SIGHUP.
+// reloadOnHangup reads the settings file again on each SIGHUP, until ctx ends.
 func (d *daemon) reloadOnHangup(ctx context.Context, path string) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -28,9 +28,9 @@
 	}
 }
 
-// reload takes what may change while the daemon runs: users, session keys, the
-// callers' certificate and the log level. A file with any finding changes
-// nothing: the daemon keeps what it had.
+// reload applies the settings that may change while the daemon runs: users, session keys, the
+// callers' certificate and the log level. A file with any finding changes nothing: the daemon
+// keeps its settings.
 func (d *daemon) reload(path string) {
 	s, err := settings.Load(path)
 	if err == nil {
@@ -60,7 +60,7 @@
 	if err = d.tokens.Replace(s.ActiveKey, s.SessionKeys); err != nil {
 		return errors.Wrap(err, "session keys")
 	}
-	d.users.now.Store(&next)
+	d.users.current.Store(&next)
 	d.level.SetLevel(level)
 	return nil
 }
--- a/daemon/reload_test.go
+++ b/daemon/reload_test.go
@@ -39,10 +39,9 @@
 	require.NoError(t, os.WriteFile(path, []byte(strings.ReplaceAll(text, "SECRET", secret)), 0o600))
 }
 
-// An operator rotates the session key and mistypes the user's secret in the
-// same edit. Half of it in force would cut callers off at night, so nothing of
-// the file is taken; the corrected file is taken whole, and tokens of the key
-// before still verify.
+// An operator rotates the session key and mistypes a user's secret in the same edit. If only part
+// of the file were applied, callers could lose access, so nothing of the file is applied. The
+// corrected file is applied as a whole, and tokens of the previous key still verify.
 func TestReloadTakesAllOrNothing(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "p.ini")
 	writeSettings(t, path, goodSettings)
@@ -57,7 +56,7 @@
 	writeSettings(t, path, strings.Replace(rotated, "SECRET", "SCRAM-SHA-256$broken", 1))
 	d.reload(path)
 	_, known := d.users.Lookup("app")
-	require.True(t, known, "the users before are kept")
+	require.True(t, known, "the previous users are retained")
 
 	writeSettings(t, path, strings.Replace(rotated, "app =", "shop =", 1))
 	d.reload(path)
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -9,7 +9,7 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// status is what GET /status shows.
+// status is the reply to GET /status.
 type status struct {
 	VM          string `json:"vm"`
 	Zone        string `json:"zone"`
@@ -19,7 +19,7 @@
 	Reason      string `json:"reason,omitempty"`
 	Generation  uint64 `json:"generation"`
 	Digest      string `json:"digest"`
-	// InForceSince is when this generation was put in force here, by the VM's wall clock.
+	// InForceSince is when this VM put the generation in force, by its wall clock.
 	InForceSince time.Time              `json:"in_force_since"`
 	Sessions     int                    `json:"sessions"`
 	Watches      bool                   `json:"watches_store"`
@@ -27,7 +27,7 @@
 	Live         []membership.VM        `json:"live"`
 	Groups       map[string]*view.Group `json:"groups"`
 	Draining     map[target.ID]bool     `json:"draining"`
-	// Fleet is what every VM has in force, as far as this one has heard.
+	// Fleet is the configuration that each VM has in force, as last reported to this VM.
 	Fleet []controller.FleetVM `json:"fleet"`
 }
 
@@ -46,7 +46,7 @@
 		Digest:       current.Digest,
 		InForceSince: d.config.Since(),
 		Sessions:     d.callers.Sessions(),
-		Watches:      d.duty.Watches(),
+		Watches:      d.assignment.Watches(),
 		AuditWaits:   d.trail.Waiting(),
 		Live:         d.exchange.Live(),
 		Groups:       v.Groups,
--- a/daemon/tls.go
+++ b/daemon/tls.go
@@ -10,9 +10,9 @@
 	"endivemoor.example/endivemoor/settings"
 )
 
-// peerTLS returns the configurations with which this daemon serves and asks
-// its peers, or nil when no key files are set. Both ends need a certificate of
-// the fleet's authority: a stranger cannot announce a primary.
+// peerTLS returns the TLS configurations with which this daemon serves its peers and calls them,
+// or nil if no key files are set. Both ends need a certificate of the fleet's authority, so that
+// an unauthorized client cannot announce a primary.
 func peerTLS(k settings.KeyFiles) (server, client *tls.Config, err error) {
 	if k.Cert == "" {
 		return nil, nil, nil
--- a/daemon/users.go
+++ b/daemon/users.go
@@ -9,9 +9,9 @@
 	"endivemoor.example/endivemoor/proxy"
 )
 
-// users is the set of callers' logins; a reload swaps it as a whole.
+// users is the set of callers' logins. A reload replaces it as a whole.
 type users struct {
-	now atomic.Pointer[proxy.StaticUsers]
+	current atomic.Pointer[proxy.StaticUsers]
 }
 
 func newUsers(secrets map[string]string) (*users, error) {
@@ -20,7 +20,7 @@
 		return nil, err
 	}
 	u := &users{}
-	u.now.Store(&first)
+	u.current.Store(&first)
 	return u, nil
 }
 
@@ -37,4 +37,6 @@
 }
 
 // Lookup implements proxy.Users.
-func (u *users) Lookup(name string) (scram.StoredCredentials, bool) { return u.now.Load().Lookup(name) }
+func (u *users) Lookup(name string) (scram.StoredCredentials, bool) {
+	return u.current.Load().Lookup(name)
+}
