--- a/controller/assignment.go
+++ b/controller/assignment.go
@@ -33,7 +33,7 @@
 
 // Assignment determines which groups this VM probes and whether it watches the store, by
 // assignment over the live VMs. Each change of membership replaces it as a whole.
-type Duty struct {
+type Assignment struct {
 	self string
 	ring atomic.Pointer[ownership.Ring]
 	// live is the number of live VMs.
@@ -41,28 +41,28 @@
 }
 
 // NewAssignment returns the assignment of a VM that has not discovered any other VM yet.
-func NewDuty(self membership.VM) *Duty {
-	a := &Duty{self: self.ID}
+func NewAssignment(self membership.VM) *Assignment {
+	a := &Assignment{self: self.ID}
 	a.ring.Store(ownership.NewRing([]membership.VM{self}))
 	return a
 }
 
 // Update recomputes the assignment for the given live VMs.
-func (a *Duty) Update(live []membership.VM) {
+func (a *Assignment) Update(live []membership.VM) {
 	a.ring.Store(ownership.NewRing(live))
 	a.live.Store(int64(len(live)))
 }
 
 // Probers returns the VMs that run the group's failover machine.
-func (a *Duty) Probers(group string) []membership.VM {
+func (a *Assignment) Probers(group string) []membership.VM {
 	return a.ring.Load().Probers(group, probersPerGroup)
 }
 
 // Probes reports whether this VM runs the group's failover machine.
-func (a *Duty) Probes(group string) bool { return a.includesSelf(a.Probers(group)) }
+func (a *Assignment) Probes(group string) bool { return a.includesSelf(a.Probers(group)) }
 
 // Watches reports whether this VM watches the store.
-func (a *Duty) Watches() bool {
+func (a *Assignment) Watches() bool {
 	return a.includesSelf(a.ring.Load().Watchers(watchTopic, watchersPerZone))
 }
 
@@ -73,7 +73,7 @@
 // limit, and lease renewals are refused. The symptom is a call rate that grows with the number of
 // VMs. Watchers are few, and all other VMs share a fixed budget; peers inform them of new and dead
 // VMs earlier than the list does.
-func (a *Duty) ListInterval(succeeded bool) time.Duration {
+func (a *Assignment) ListInterval(succeeded bool) time.Duration {
 	if a.Watches() {
 		return listInterval
 	}
@@ -84,6 +84,6 @@
 	return ownership.DefaultBudget().Interval(store.PurposeVMs, int(a.live.Load()), least)
 }
 
-func (a *Duty) includesSelf(vms []membership.VM) bool {
+func (a *Assignment) includesSelf(vms []membership.VM) bool {
 	return slices.ContainsFunc(vms, func(vm membership.VM) bool { return vm.ID == a.self })
 }
--- a/controller/assignment_test.go
+++ b/controller/assignment_test.go
@@ -27,7 +27,7 @@
 		zones := map[string]bool{}
 		probers := 0
 		for _, vm := range vms {
-			a := NewDuty(vm)
+			a := NewAssignment(vm)
 			a.Update(vms)
 			if a.Probes(group) {
 				probers++
@@ -45,10 +45,10 @@
 	for _, n := range []int{9, 900} {
 		watchers := 0
 		vms := fleet(n, 3)
-		a := NewDuty(vms[0])
+		a := NewAssignment(vms[0])
 		a.Update(vms)
 		for _, vm := range vms {
-			one := &Duty{self: vm.ID}
+			one := &Assignment{self: vm.ID}
 			one.ring.Store(a.ring.Load())
 			if one.Watches() {
 				watchers++
@@ -65,11 +65,11 @@
 func TestReadsOfTheVMListStayWithinTheirShare(t *testing.T) {
 	for _, n := range []int{3, 9, 27, 900, 2900} {
 		vms := fleet(n, 6)
-		ring := NewDuty(vms[0])
+		ring := NewAssignment(vms[0])
 		ring.Update(vms)
 		perSecond := 0.0
 		for _, vm := range vms {
-			one := &Duty{self: vm.ID}
+			one := &Assignment{self: vm.ID}
 			one.ring.Store(ring.ring.Load())
 			one.live.Store(int64(n))
 			perSecond += 1 / one.ListInterval(true).Seconds()
--- a/controller/evidence.go
+++ b/controller/evidence.go
@@ -47,7 +47,7 @@
 }
 
 // QueriedSince reports whether a status query to the server ended at t or later.
-func (e *Evidence) AskedSince(id target.ID, t clock.Time) bool {
+func (e *Evidence) QueriedSince(id target.ID, t clock.Time) bool {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	at, ok := e.lastEnded[id]
--- a/controller/exchange.go
+++ b/controller/exchange.go
@@ -37,7 +37,7 @@
 	config     *Configuration
 	clients    *peer.Clients
 	store      store.Store
-	assignment *Duty
+	assignment *Assignment
 	drains     *Drains
 	fleet      *Fleet
 	log        *zap.Logger
@@ -63,25 +63,25 @@
 
 // ExchangeConfig holds the dependencies of an Exchange.
 type ExchangeConfig struct {
-	Clock    clock.Clock
-	Views    *view.Holder
-	Config   *Configuration
-	Clients  *peer.Clients
-	Store    store.Store
-	Duty     *Duty
-	Drains   *Drains
-	Log      *zap.Logger
-	OnGroup  func(*view.Group)
-	OnDrain  func(id target.ID, draining bool, revision int64)
-	OnChange func([]membership.VM)
-	Machine  *membership.Machine
-	Rand     *rand.Rand
+	Clock      clock.Clock
+	Views      *view.Holder
+	Config     *Configuration
+	Clients    *peer.Clients
+	Store      store.Store
+	Assignment *Assignment
+	Drains     *Drains
+	Log        *zap.Logger
+	OnGroup    func(*view.Group)
+	OnDrain    func(id target.ID, draining bool, revision int64)
+	OnChange   func([]membership.VM)
+	Machine    *membership.Machine
+	Rand       *rand.Rand
 }
 
 // NewExchange returns an Exchange that has discovered no peer yet.
 func NewExchange(c ExchangeConfig) *Exchange {
 	return &Exchange{
-		clk: c.Clock, views: c.Views, config: c.Config, clients: c.Clients, store: c.Store, assignment: c.Duty, drains: c.Drains, onDrain: c.OnDrain,
+		clk: c.Clock, views: c.Views, config: c.Config, clients: c.Clients, store: c.Store, assignment: c.Assignment, drains: c.Drains, onDrain: c.OnDrain,
 		log: c.Log, onGroup: c.OnGroup, onChange: c.OnChange, machine: c.Machine, rng: c.Rand,
 		changed: map[string]clock.Time{}, terms: map[string]timeline.Term{},
 		fleet: NewFleet(c.Clock, c.Machine.Self().VM.ID),
@@ -117,7 +117,7 @@
 		if err != nil {
 			x.log.Warn("vm_list_failed", zap.Error(err))
 		} else {
-			x.fleet.List(vms)
+			x.fleet.RecordListed(vms)
 			x.step(ctx, membership.Listed{VMs: vms})
 		}
 		wait.For(ctx, x.assignment.ListInterval(err == nil))
--- a/controller/exchange_messages.go
+++ b/controller/exchange_messages.go
@@ -46,9 +46,9 @@
 		return
 	}
 	ev := membership.Exchanged{From: memberRecord(from)}
-	x.fleet.Hear(from)
+	x.fleet.RecordReport(from)
 	for _, m := range others {
-		x.fleet.Hear(m)
+		x.fleet.RecordReport(m)
 		ev.Others = append(ev.Others, memberRecord(m))
 	}
 	x.step(ctx, ev)
--- a/controller/exchange_test.go
+++ b/controller/exchange_test.go
@@ -40,7 +40,7 @@
 	drains := NewDrains(views, zap.NewNop())
 	x := NewExchange(ExchangeConfig{
 		Clock: monotonic.New(), Views: views, Config: NewConfiguration(views, zap.NewNop()),
-		Clients: peer.NewClients(nil), Store: downStore{}, Duty: NewDuty(self), Drains: drains, Log: zap.NewNop(),
+		Clients: peer.NewClients(nil), Store: downStore{}, Assignment: NewAssignment(self), Drains: drains, Log: zap.NewNop(),
 		OnGroup:  func(g *view.Group) { views.Adopt(g) },
 		OnDrain:  func(id target.ID, d bool, rev int64) { drains.Offer(id, d, rev) },
 		OnChange: func([]membership.VM) {},
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -47,8 +47,8 @@
 	Generation profile.Generation `json:"generation"`
 	// ReportAgeMS is the age of the VM's report in milliseconds, or -1 if none was received. It
 	// does not include the transit time, which is below a second a hop.
-	HeardMS int64 `json:"heard_ms_ago"`
-	Leaving bool  `json:"leaving"`
+	ReportAgeMS int64 `json:"heard_ms_ago"`
+	Leaving     bool  `json:"leaving"`
 }
 
 // NewFleet returns a Fleet without any VM. self is the ID of this VM.
@@ -62,7 +62,7 @@
 // shown as current because peers keep forwarding its record. Each report therefore carries its
 // age, and a record without a report changes nothing. Within one incarnation, only a greater
 // generation or a more recent report replaces the recorded one.
-func (f *Fleet) Hear(m *peerpb.Member) {
+func (f *Fleet) RecordReport(m *peerpb.Member) {
 	if m.GetVm() == "" || m.GetVm() == f.self {
 		return
 	}
@@ -88,7 +88,7 @@
 
 // RecordListed records the platform's list of VMs. A listed VM is shown even if it never sent a
 // report.
-func (f *Fleet) List(vms []store.VM) {
+func (f *Fleet) RecordListed(vms []store.VM) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	clear(f.listed)
@@ -136,9 +136,9 @@
 	defer f.mu.Unlock()
 	out := make([]FleetVM, 0, len(f.reports))
 	for id, r := range f.reports {
-		vm := FleetVM{VM: id, Zone: r.zone, Generation: profile.Generation(r.generation), HeardMS: -1, Leaving: r.leaving}
+		vm := FleetVM{VM: id, Zone: r.zone, Generation: profile.Generation(r.generation), ReportAgeMS: -1, Leaving: r.leaving}
 		if r.reported {
-			vm.HeardMS = f.age(r)
+			vm.ReportAgeMS = f.age(r)
 		}
 		out = append(out, vm)
 	}
--- a/controller/fleet_test.go
+++ b/controller/fleet_test.go
@@ -32,12 +32,12 @@
 // generation and the true age of its report, never as current.
 func TestPartitionedVMKeepsTheAgeOfItsReport(t *testing.T) {
 	f, clk := newFleet()
-	f.Hear(reportOf("p3", 1, 5, 0))
+	f.RecordReport(reportOf("p3", 1, 5, 0))
 	clk.now = clk.now.Add(time.Hour)
-	f.Hear(reportOf("p3", 1, 5, uint64(time.Hour.Milliseconds())))
-	f.Hear(&peerpb.Member{Vm: "p3", Zone: "z", Incarnation: 1})
-	f.List([]store.VM{{ID: "p3", Zone: "z"}})
-	require.Equal(t, []FleetVM{{VM: "p3", Zone: "z", Generation: 5, HeardMS: time.Hour.Milliseconds()}}, f.VMs())
+	f.RecordReport(reportOf("p3", 1, 5, uint64(time.Hour.Milliseconds())))
+	f.RecordReport(&peerpb.Member{Vm: "p3", Zone: "z", Incarnation: 1})
+	f.RecordListed([]store.VM{{ID: "p3", Zone: "z"}})
+	require.Equal(t, []FleetVM{{VM: "p3", Zone: "z", Generation: 5, ReportAgeMS: time.Hour.Milliseconds()}}, f.VMs())
 	m := f.withReport(&peerpb.Member{Vm: "p3", Incarnation: 1})
 	require.EqualValues(t, time.Hour.Milliseconds(), m.GetSaid().GetAgeMs(), "the record is forwarded with the age of its report")
 }
@@ -46,12 +46,12 @@
 // incarnation states that it has the newest set. An operator must not be shown that generation.
 func TestReportOfAFormerIncarnationIsIgnored(t *testing.T) {
 	f, _ := newFleet()
-	f.Hear(reportOf("p3", 1, 6, 0))
-	f.Hear(reportOf("p3", 2, 0, 0))
-	f.Hear(reportOf("p3", 1, 6, 0))
+	f.RecordReport(reportOf("p3", 1, 6, 0))
+	f.RecordReport(reportOf("p3", 2, 0, 0))
+	f.RecordReport(reportOf("p3", 1, 6, 0))
 	require.Zero(t, f.VMs()[0].Generation)
-	f.Hear(&peerpb.Member{Vm: "p3", Zone: "z", Incarnation: 3})
-	require.EqualValues(t, -1, f.VMs()[0].HeardMS, "the restart has been reported, but not the configuration")
+	f.RecordReport(&peerpb.Member{Vm: "p3", Zone: "z", Incarnation: 3})
+	require.EqualValues(t, -1, f.VMs()[0].ReportAgeMS, "the restart has been reported, but not the configuration")
 	require.Nil(t, f.withReport(&peerpb.Member{Vm: "p3", Incarnation: 1}).GetSaid(), "a report is not added to the record of another incarnation")
 }
 
@@ -59,21 +59,21 @@
 // the age of the more recent report is kept.
 func TestDelayedReportDoesNotReplaceANewerOne(t *testing.T) {
 	f, _ := newFleet()
-	f.Hear(reportOf("p3", 1, 6, 100))
-	f.Hear(reportOf("p3", 1, 5, 900))
-	require.Equal(t, []FleetVM{{VM: "p3", Zone: "z", Generation: 6, HeardMS: 100}}, f.VMs())
+	f.RecordReport(reportOf("p3", 1, 6, 100))
+	f.RecordReport(reportOf("p3", 1, 5, 900))
+	require.Equal(t, []FleetVM{{VM: "p3", Zone: "z", Generation: 6, ReportAgeMS: 100}}, f.VMs())
 }
 
 // VMs are replaced all day under new names. A VM that the platform no longer lists is removed
 // after unlistedRetention; a listed VM stays even if it sends no reports.
 func TestReplacedVMsAreForgotten(t *testing.T) {
 	f, clk := newFleet()
-	f.Hear(reportOf("replaced", 1, 6, 0))
-	f.List([]store.VM{{ID: "p0"}, {ID: "new", Zone: "z"}})
+	f.RecordReport(reportOf("replaced", 1, 6, 0))
+	f.RecordListed([]store.VM{{ID: "p0"}, {ID: "new", Zone: "z"}})
 	require.Len(t, f.VMs(), 2, "the list lags, so an unlisted VM with a report is retained for a time")
 	clk.now = clk.now.Add(unlistedRetention + time.Second)
-	f.List([]store.VM{{ID: "new", Zone: "z"}})
-	require.Equal(t, []FleetVM{{VM: "new", Zone: "z", HeardMS: -1}}, f.VMs())
+	f.RecordListed([]store.VM{{ID: "new", Zone: "z"}})
+	require.Equal(t, []FleetVM{{VM: "new", Zone: "z", ReportAgeMS: -1}}, f.VMs())
 }
 
 // p1 and p3 exchange messages only with p2. Every daemon that an operator queries must return what
@@ -87,7 +87,7 @@
 	require.Eventually(t, func() bool {
 		p1.exchangeWith(context.Background(), vm2)
 		known := p1.Fleet()
-		return len(known) == 3 && known[2].VM == "p3" && known[2].Generation == profile.Generation(4) && known[2].HeardMS >= 0
+		return len(known) == 3 && known[2].VM == "p3" && known[2].Generation == profile.Generation(4) && known[2].ReportAgeMS >= 0
 	}, 20*time.Second, 10*time.Millisecond)
 	require.Equal(t, "p1", p1.Fleet()[0].VM)
 	require.Equal(t, profile.Generation(4), p2.config.Current().Generation)
--- a/controller/group.go
+++ b/controller/group.go
@@ -23,7 +23,7 @@
 // PeerEvidence queries other VMs for their evidence of a group's servers. QueryPeers calls report
 // once for each server that a peer reports on, and returns when every peer has replied or failed.
 type PeerEvidence interface {
-	AskPeers(ctx context.Context, group string, report func(failover.PeerReport))
+	QueryPeers(ctx context.Context, group string, report func(failover.PeerReport))
 	// Relay sends the newest state of this VM to some peers at once.
 	Relay()
 }
@@ -105,7 +105,7 @@
 	case failover.Probe:
 		go g.probe(ctx, a)
 	case failover.QueryPeers:
-		go g.Peers.AskPeers(ctx, g.name, func(r failover.PeerReport) { r.Asked = a.Asked; g.Post(r) })
+		go g.Peers.QueryPeers(ctx, g.name, func(r failover.PeerReport) { r.Asked = a.Asked; g.Post(r) })
 	case failover.ReadLease:
 		go g.readLease(ctx, a)
 	case failover.RenewLease:
--- a/controller/manager.go
+++ b/controller/manager.go
@@ -25,7 +25,7 @@
 	// Drains records the drain marks.
 	Drains *Drains
 	// Assignment determines which groups this VM controls.
-	Duty *Duty
+	Assignment *Assignment
 	// Forget drops the state of servers that are not in the view.
 	Forget func(*view.View)
 	// Dropped is called for each event that did not fit into a full backlog.
@@ -67,7 +67,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r, exists := m.groups[group.Name]
-	assigned := m.Duty.Probes(group.Name)
+	assigned := m.Assignment.Probes(group.Name)
 	switch {
 	case exists && assigned:
 		return r.Group
--- a/controller/observe.go
+++ b/controller/observe.go
@@ -22,7 +22,7 @@
 
 // QueryPeers implements PeerEvidence: it queries the group's other probers concurrently. They poll
 // the group's servers and are spread over the availability zones.
-func (x *Exchange) AskPeers(ctx context.Context, group string, report func(failover.PeerReport)) {
+func (x *Exchange) QueryPeers(ctx context.Context, group string, report func(failover.PeerReport)) {
 	var wg sync.WaitGroup
 	for _, vm := range x.assignment.Probers(group) {
 		if vm.ID == x.assignment.self {
@@ -106,7 +106,7 @@
 }
 
 func (o *Observer) observe(ctx context.Context, group string, s view.Server) *peerpb.Observation {
-	if !o.Evidence.AskedSince(s.ID, o.Clock.Now().Add(-recentQueryPeriod)) {
+	if !o.Evidence.QueriedSince(s.ID, o.Clock.Now().Add(-recentQueryPeriod)) {
 		_, _ = o.Links.Of(s).Status(ctx)
 	}
 	newest, ok := o.Evidence.Newest(s.ID)
--- a/controller/status_poller.go
+++ b/controller/status_poller.go
@@ -19,23 +19,23 @@
 // StatusPoller polls the status of the servers of groups that have requests on this VM while this
 // VM is not one of the group's probers. Replica reads need recent evidence of the replicas' lag on
 // every VM that routes them. A group without requests on this VM is not polled.
-type Feeder struct {
-	Clock  clock.Clock
-	Views  *view.Holder
-	Links  *control.Links
-	Duty   *Duty
-	Router *routing.Router
+type StatusPoller struct {
+	Clock      clock.Clock
+	Views      *view.Holder
+	Links      *control.Links
+	Assignment *Assignment
+	Router     *routing.Router
 
 	lastRequest sync.Map // group name to *atomic.Int64, a clock.Time
 }
 
 // Route implements filter.Chooser: it records that the group is in use and delegates to Router.
-func (p *Feeder) Route(v *view.View, g *view.Group, r routing.Request) routing.Decision {
+func (p *StatusPoller) Route(v *view.View, g *view.Group, r routing.Request) routing.Decision {
 	p.recordRequest(g.Name, r.Now)
 	return p.Router.Route(v, g, r)
 }
 
-func (p *Feeder) recordRequest(group string, now clock.Time) {
+func (p *StatusPoller) recordRequest(group string, now clock.Time) {
 	at, ok := p.lastRequest.Load(group)
 	if !ok {
 		at, _ = p.lastRequest.LoadOrStore(group, &atomic.Int64{})
@@ -44,7 +44,7 @@
 }
 
 // Run polls at the given interval until ctx ends.
-func (p *Feeder) Run(ctx context.Context, interval time.Duration) {
+func (p *StatusPoller) Run(ctx context.Context, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -57,13 +57,13 @@
 	}
 }
 
-func (p *Feeder) poll(ctx context.Context) {
+func (p *StatusPoller) poll(ctx context.Context) {
 	now := p.Clock.Now()
 	groups := p.Views.Load().Groups
 	p.lastRequest.Range(func(name, at any) bool {
 		group := groups[name.(string)]
 		last := clock.Time(at.(*atomic.Int64).Load())
-		if group == nil || now.Sub(last) > pollAfterRequest || p.Duty.Probes(group.Name) {
+		if group == nil || now.Sub(last) > pollAfterRequest || p.Assignment.Probes(group.Name) {
 			return true
 		}
 		for _, s := range group.Servers {
--- a/ctl/fleet.go
+++ b/ctl/fleet.go
@@ -55,7 +55,7 @@
 }
 
 func younger(a, b controller.FleetVM) bool {
-	return a.HeardMS >= 0 && (b.HeardMS < 0 || a.HeardMS < b.HeardMS)
+	return a.ReportAgeMS >= 0 && (b.ReportAgeMS < 0 || a.ReportAgeMS < b.ReportAgeMS)
 }
 
 type fleetCommands struct {
@@ -103,8 +103,8 @@
 
 func heardText(vm controller.FleetVM) string {
 	text := "never"
-	if vm.HeardMS >= 0 {
-		text = (time.Duration(vm.HeardMS) * time.Millisecond).String() + " ago"
+	if vm.ReportAgeMS >= 0 {
+		text = (time.Duration(vm.ReportAgeMS) * time.Millisecond).String() + " ago"
 	}
 	if vm.Leaving {
 		text += ", leaving"
@@ -176,9 +176,9 @@
 	for i, vm := range fleet {
 		out[i] = vmArrival{vm, presenceInForce}
 		switch {
-		case vm.HeardMS >= 0 && vm.Generation < want:
+		case vm.ReportAgeMS >= 0 && vm.Generation < want:
 			out[i].Presence = presenceBehind
-		case vm.HeardMS < 0 || time.Duration(vm.HeardMS)*time.Millisecond > fresh:
+		case vm.ReportAgeMS < 0 || time.Duration(vm.ReportAgeMS)*time.Millisecond > fresh:
 			out[i].Presence = presenceSilent
 		}
 	}
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -30,17 +30,17 @@
 	if err != nil {
 		return err
 	}
-	d.statusPoller = &controller.Feeder{
-		Clock:  d.clk,
-		Views:  d.views,
-		Links:  d.links,
-		Duty:   d.assignment,
-		Router: routing.NewRouter(d.tracker, routing.EvidencePolicy{}, newRand().Uint64()),
+	d.statusPoller = &controller.StatusPoller{
+		Clock:      d.clk,
+		Views:      d.views,
+		Links:      d.links,
+		Assignment: d.assignment,
+		Router:     routing.NewRouter(d.tracker, routing.EvidencePolicy{}, newRand().Uint64()),
 	}
 	cfg := proxy.Config{
 		View:         d.views,
 		Router:       d.statusPoller,
-		Board:        d.tracker,
+		Tracker:      d.tracker,
 		Limiter:      d.newLimiter(),
 		Pool:         connections,
 		Tokens:       d.tokens,
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -32,19 +32,19 @@
 	self := membership.VM{ID: d.set.VM.ID, Zone: d.set.VM.Zone, Addr: d.set.Listen.Peers}
 	rng := newRand()
 	d.exchange = controller.NewExchange(controller.ExchangeConfig{
-		Clock:    d.clk,
-		Views:    d.views,
-		Config:   d.config,
-		Clients:  d.clients,
-		Store:    d.store,
-		Duty:     d.assignment,
-		Drains:   d.drains,
-		Log:      d.log,
-		OnGroup:  func(g *view.Group) { d.manager.OnPeerGroup(g) },
-		OnDrain:  func(id target.ID, draining bool, rev int64) { d.manager.OnDrain(id, draining, rev) },
-		OnChange: d.onMembersChanged,
-		Machine:  membership.New(membership.Config{Interval: exchangeInterval, Incarnation: d.incarnation, Seed: rng.Uint64()}, self),
-		Rand:     rng,
+		Clock:      d.clk,
+		Views:      d.views,
+		Config:     d.config,
+		Clients:    d.clients,
+		Store:      d.store,
+		Assignment: d.assignment,
+		Drains:     d.drains,
+		Log:        d.log,
+		OnGroup:    func(g *view.Group) { d.manager.OnPeerGroup(g) },
+		OnDrain:    func(id target.ID, draining bool, rev int64) { d.manager.OnDrain(id, draining, rev) },
+		OnChange:   d.onMembersChanged,
+		Machine:    membership.New(membership.Config{Interval: exchangeInterval, Incarnation: d.incarnation, Seed: rng.Uint64()}, self),
+		Rand:       rng,
 	})
 	d.peers = peer.NewServer(&peerHandler{d}, server)
 	return nil
@@ -81,12 +81,12 @@
 			},
 			Log: d.log,
 		},
-		Failover: d.failoverConfig(),
-		Serve:    d.set.VM.Groups,
-		Drains:   d.drains,
-		Duty:     d.assignment,
-		Forget:   d.tracker.Retain,
-		Dropped:  dropped.Inc,
+		Failover:   d.failoverConfig(),
+		Serve:      d.set.VM.Groups,
+		Drains:     d.drains,
+		Assignment: d.assignment,
+		Forget:     d.tracker.Retain,
+		Dropped:    dropped.Inc,
 	}
 	return nil
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -69,8 +69,8 @@
 	promotions   *explain.Ring
 	manager      *controller.Manager
 	exchange     *controller.Exchange
-	assignment   *controller.Duty
-	statusPoller *controller.Feeder
+	assignment   *controller.Assignment
+	statusPoller *controller.StatusPoller
 	callers      *proxy.Server
 	peers        *http.Server
 	admin        *http.Server
@@ -109,7 +109,7 @@
 		evidence:    controller.NewEvidence(),
 		requests:    explain.NewRing(maxRequestRecords),
 		promotions:  explain.NewRing(maxPromotionRecords),
-		assignment:  controller.NewDuty(membership.VM{ID: s.VM.ID, Zone: s.VM.Zone, Addr: s.Listen.Peers}),
+		assignment:  controller.NewAssignment(membership.VM{ID: s.VM.ID, Zone: s.VM.Zone, Addr: s.Listen.Peers}),
 	}
 	d.metrics.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	d.config = controller.NewConfiguration(d.views, log)
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -69,7 +69,7 @@
 	// watchJitter is this VM's position within selfWatchJitter, from 0 to 1.
 	watchJitter   float64
 	catalog       *catalog.Holder
-	recency       recency.Board
+	recency       recency.Tracker
 	eras          *eras
 	store         *objects.Client
 	outage        outage
--- a/edge/evidence.go
+++ b/edge/evidence.go
@@ -22,12 +22,12 @@
 
 // recordConfirmation records that the store has confirmed this VM's copy of a list as current.
 func (e *Edge) recordConfirmation(l recency.List, revision int64, at clock.Time) {
-	e.recency.Note(l, recency.Mark{Version: versionOf(e.catalog.Load(), l), Revision: revision, At: at})
+	e.recency.Record(l, recency.Confirmation{Version: versionOf(e.catalog.Load(), l), Revision: revision, At: at})
 }
 
 // confirmations returns the newest confirmation of each of this VM's copies.
-func (e *Edge) confirmations(c *catalog.Catalog) map[recency.List]recency.Mark {
-	out := make(map[recency.List]recency.Mark, len(recency.Lists()))
+func (e *Edge) confirmations(c *catalog.Catalog) map[recency.List]recency.Confirmation {
+	out := make(map[recency.List]recency.Confirmation, len(recency.Lists()))
 	for _, l := range recency.Lists() {
 		out[l] = e.recency.Newest(l, versionOf(c, l))
 	}
--- a/edge/gossip.go
+++ b/edge/gossip.go
@@ -135,7 +135,7 @@
 
 func (g *gossiper) hasPeers() bool {
 	peers := g.peers.Load()
-	return peers != nil && !peers.None()
+	return peers != nil && !peers.Empty()
 }
 
 // choosePeers selects the peers of one round. A VM without known peers uses the seed addresses from
@@ -143,7 +143,7 @@
 func (g *gossiper) choosePeers() []catalog.VM {
 	peers := g.peers.Load()
 	if !g.hasPeers() {
-		peers = partners.Of("", "", g.seeds())
+		peers = partners.New("", "", g.seeds())
 	}
 	now := g.edge.clk.Now()
 	g.mu.Lock()
@@ -219,7 +219,7 @@
 
 // updatePeers sets the peers from the fleet's list and forgets those that are no longer on it.
 func (g *gossiper) updatePeers(c *catalog.Catalog) {
-	g.peers.Store(partners.Of(g.edge.settings.Node, g.edge.settings.Zone, c.VMs))
+	g.peers.Store(partners.New(g.edge.settings.Node, g.edge.settings.Zone, c.VMs))
 	addrs, names := make(map[string]bool, len(c.VMs)), make(map[string]bool, len(c.VMs))
 	for _, vm := range c.VMs {
 		addrs[vm.Peer], names[vm.ID] = true, true
@@ -260,7 +260,7 @@
 	}
 	for l, m := range u.Confirmations {
 		e.eras.recordRevision(m.Revision)
-		e.recency.Note(l, m)
+		e.recency.Record(l, m)
 	}
 }
 
--- a/gossip/client.go
+++ b/gossip/client.go
@@ -84,7 +84,7 @@
 	// Unreachable are the peers, by address, that some VM recently could not reach, and when.
 	Unreachable map[string]clock.Time
 	// Confirmations are the peer's evidence that its copies of the lists are up to date.
-	Confirmations map[recency.List]recency.Mark
+	Confirmations map[recency.List]recency.Confirmation
 	// Bulks are lists that are too large for the reply; Fetch reads them.
 	Bulks []Bulk
 }
--- a/gossip/convert.go
+++ b/gossip/convert.go
@@ -87,13 +87,13 @@
 }
 
 // addConfirmations encodes the confirmation of each list, with its age.
-func addConfirmations(out *gossippb.PullReply, confirmations map[recency.List]recency.Mark, now clock.Time) {
+func addConfirmations(out *gossippb.PullReply, confirmations map[recency.List]recency.Confirmation, now clock.Time) {
 	out.ConfigMark = confirmationOf(confirmations[recency.Config], now)
 	out.TargetsMark = confirmationOf(confirmations[recency.Targets], now)
 	out.FleetMark = confirmationOf(confirmations[recency.Fleet], now)
 }
 
-func confirmationOf(m recency.Mark, now clock.Time) *gossippb.Mark {
+func confirmationOf(m recency.Confirmation, now clock.Time) *gossippb.Mark {
 	if m.At == 0 {
 		return nil
 	}
@@ -105,9 +105,9 @@
 		return
 	}
 	if n.Confirmations == nil {
-		n.Confirmations = make(map[recency.List]recency.Mark)
+		n.Confirmations = make(map[recency.List]recency.Confirmation)
 	}
-	n.Confirmations[l] = recency.Mark{Version: m.GetVersion(), Revision: m.GetRevision(), At: sent.Add(-microseconds(m.GetAgeUs()))}
+	n.Confirmations[l] = recency.Confirmation{Version: m.GetVersion(), Revision: m.GetRevision(), At: sent.Add(-microseconds(m.GetAgeUs()))}
 }
 
 func (n *Update) addUnreachable(peer string, at clock.Time) {
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -93,8 +93,8 @@
 // list.
 func TestConfirmationsArePerListAndNeverMoreRecent(t *testing.T) {
 	theirs, ours := &manualClock{now: clock.Time(time.Hour)}, &manualClock{now: clock.Time(time.Minute)}
-	confirmation := recency.Mark{Version: 9, Revision: 40, At: theirs.now.Add(-2 * time.Second)}
-	_, c, addr := start(t, LocalState{Catalog: full(), Confirmations: map[recency.List]recency.Mark{recency.Config: confirmation}}, theirs, ours)
+	confirmation := recency.Confirmation{Version: 9, Revision: 40, At: theirs.now.Add(-2 * time.Second)}
+	_, c, addr := start(t, LocalState{Catalog: full(), Confirmations: map[recency.List]recency.Confirmation{recency.Config: confirmation}}, theirs, ours)
 	n, err := c.Pull(context.Background(), addr, PullOptions{Self: "me", Known: full()})
 	require.NoError(t, err)
 	require.Len(t, n.Confirmations, 1, "lists without a confirmation are left out")
--- a/gossip/server.go
+++ b/gossip/server.go
@@ -29,7 +29,7 @@
 	// Unreachable are the peers, by address, that recently could not be reached, and when.
 	Unreachable map[string]clock.Time
 	// Confirmations are the evidence that the VM's copies of the store's lists are up to date.
-	Confirmations map[recency.List]recency.Mark
+	Confirmations map[recency.List]recency.Confirmation
 }
 
 // Source provides this VM's state, and takes revocations.
--- a/partners/partners.go
+++ b/partners/partners.go
@@ -38,7 +38,7 @@
 }
 
 // New returns the peers of a VM in a zone, from the fleet's list. It omits VMs without an address.
-func Of(self, zone string, vms []catalog.VM) *Peers {
+func New(self, zone string, vms []catalog.VM) *Peers {
 	p := &Peers{zoneSize: 1}
 	for _, vm := range vms {
 		switch {
@@ -54,7 +54,7 @@
 }
 
 // Empty reports whether there are no peers.
-func (p *Peers) None() bool { return len(p.sameZone)+len(p.crossZone) == 0 }
+func (p *Peers) Empty() bool { return len(p.sameZone)+len(p.crossZone) == 0 }
 
 // Draw selects the peers of one round among those not in backoff; a nil inBackoff means that none
 // is. If there are too few same-zone peers, cross-zone peers replace them, and vice versa.
--- a/partners/partners_test.go
+++ b/partners/partners_test.go
@@ -29,7 +29,7 @@
 	for i, vm := range fleet {
 		number[vm.ID] = i
 		updated[i] = i < initial
-		peers[i] = Of(vm.ID, vm.Zone, fleet)
+		peers[i] = New(vm.ID, vm.Zone, fleet)
 	}
 	crossZone := 0
 	for remaining := vms - initial; remaining > 0; rounds++ {
@@ -79,10 +79,10 @@
 func TestDrawReplacesUnavailablePeers(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	fleet := fleetOf(6, 2)
-	require.Len(t, Of("new", "elsewhere", fleet).Draw(nil, rnd), PerRound)
-	require.Len(t, Of("vm0", "zone0", fleet[:2]).Draw(nil, rnd), 1)
-	require.Empty(t, Of("vm0", "zone0", fleet[:1]).Draw(nil, rnd))
-	peers := Of("vm0", "zone0", fleet)
+	require.Len(t, New("new", "elsewhere", fleet).Draw(nil, rnd), PerRound)
+	require.Len(t, New("vm0", "zone0", fleet[:2]).Draw(nil, rnd), 1)
+	require.Empty(t, New("vm0", "zone0", fleet[:1]).Draw(nil, rnd))
+	peers := New("vm0", "zone0", fleet)
 	for range 20 {
 		drawn := peers.Draw(func(vm catalog.VM) bool { return vm.Zone != "zone0" }, rnd)
 		require.Len(t, drawn, PerRound)
--- a/proxy/config.go
+++ b/proxy/config.go
@@ -22,7 +22,7 @@
 type Acknowledger = filter.Gate
 
 // Tracker records the latency and the result of exchanges with a server.
-type Board interface {
+type Tracker interface {
 	Begin(id target.ID, now clock.Time)
 	End(id target.ID, now clock.Time, latency time.Duration, failed bool)
 }
@@ -48,7 +48,7 @@
 type Config struct {
 	View    *view.Holder
 	Router  filter.Chooser
-	Board   Board
+	Tracker Tracker
 	Limiter filter.Admission
 	Pool    filter.Connections
 	Tokens  Tokens
--- a/proxy/harness_test.go
+++ b/proxy/harness_test.go
@@ -170,7 +170,7 @@
 	creds, err := ParseVerifier(verifier)
 	require.NoError(t, err)
 	cfg := Config{
-		View: c.views, Router: routing.NewRouter(r.tracker.Tracker, routing.EvidencePolicy{}, 1), Board: r.tracker, Pool: r.pool,
+		View: c.views, Router: routing.NewRouter(r.tracker.Tracker, routing.EvidencePolicy{}, 1), Tracker: r.tracker, Pool: r.pool,
 		Limiter: limiter.New(limiter.Config{Queue: admission.Config{}, Clock: c.clk}),
 		Tokens:  c.keys, Users: StaticUsers{"app": creds, "other": creds}, Ack: c.gate, Clock: c.clk,
 		Log: zap.NewNop(), Recorder: r, Zone: "a", Seed: 1,
--- a/proxy/unit.go
+++ b/proxy/unit.go
@@ -122,7 +122,7 @@
 	if err := u.lease.SetDeadline(until); err != nil {
 		return err
 	}
-	tracker := u.s.srv.cfg.Board
+	tracker := u.s.srv.cfg.Tracker
 	tracker.Begin(r.Server.ID, start)
 	err := x.run()
 	now := r.Clock.Now()
--- a/recency/recency.go
+++ b/recency/recency.go
@@ -40,7 +40,7 @@
 const Unknown = time.Hour
 
 // Confirmation records that a copy was equal to the store's at a time.
-type Mark struct {
+type Confirmation struct {
 	// Version is the version of the copy: the configuration's own, or the store's revision for
 	// another list.
 	Version int64
@@ -53,7 +53,7 @@
 
 // Age returns how long ago the copy was known to be equal to the store's; Unknown if there is no
 // evidence.
-func (m Mark) Age(now clock.Time) time.Duration {
+func (m Confirmation) Age(now clock.Time) time.Duration {
 	if m.At == 0 {
 		return Unknown
 	}
@@ -61,7 +61,7 @@
 }
 
 // Tracker holds the newest confirmations of one VM's copies. It is safe for concurrent use.
-type Board struct {
+type Tracker struct {
 	mu     sync.Mutex
 	byList [listCount]confirmations
 }
@@ -69,13 +69,13 @@
 // confirmations are the newest confirmations of one list.
 type confirmations struct {
 	// current is for a version that this VM has, or had.
-	current Mark
+	current Confirmation
 	// newest is for a version that it may not have yet.
-	newest Mark
+	newest Confirmation
 }
 
 // Record records a confirmation made by this VM or received from a peer.
-func (t *Board) Note(l List, m Mark) {
+func (t *Tracker) Record(l List, m Confirmation) {
 	if m.At == 0 {
 		return
 	}
@@ -92,7 +92,7 @@
 
 // Newest returns the newest confirmation of a copy with the given version; its At is 0 if there is
 // none.
-func (t *Board) Newest(l List, version int64) Mark {
+func (t *Tracker) Newest(l List, version int64) Confirmation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	k := &t.byList[l]
@@ -103,6 +103,6 @@
 }
 
 // Age returns how long ago a copy with the given version was known to be equal to the store's.
-func (t *Board) Age(l List, version int64, now clock.Time) time.Duration {
+func (t *Tracker) Age(l List, version int64, now clock.Time) time.Duration {
 	return t.Newest(l, version).Age(now)
 }
--- a/recency/recency_test.go
+++ b/recency/recency_test.go
@@ -15,15 +15,15 @@
 // Guards against: a VM that applies evidence for another list, or for a version that it lacks, to
 // its own copy.
 func TestEvidenceSpeaksOfOneListAndOneVersion(t *testing.T) {
-	var b Board
+	var b Tracker
 	require.Equal(t, Unknown, b.Age(Config, 14, 9*second))
-	b.Note(Config, Mark{Version: 14, At: 1 * second})
-	b.Note(Fleet, Mark{Version: 100, At: 8 * second})
+	b.Record(Config, Confirmation{Version: 14, At: 1 * second})
+	b.Record(Fleet, Confirmation{Version: 100, At: 8 * second})
 	require.Equal(t, 8*time.Second, b.Age(Config, 14, 9*second))
-	b.Note(Config, Mark{Version: 16, At: 5 * second})
+	b.Record(Config, Confirmation{Version: 16, At: 5 * second})
 	require.Equal(t, 8*time.Second, b.Age(Config, 14, 9*second), "this VM does not have version 16 yet")
 	require.Equal(t, 4*time.Second, b.Age(Config, 16, 9*second), "this VM now has version 16")
-	b.Note(Config, Mark{Version: 14, At: 6 * second})
+	b.Record(Config, Confirmation{Version: 14, At: 6 * second})
 	require.Equal(t, 3*time.Second, b.Age(Config, 16, 9*second), "the store had version 14 later, so version 16 cannot be older than that evidence")
 }
 
@@ -31,13 +31,13 @@
 // copy.
 func TestAgeIsThatOfTheNewestMatchingConfirmation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var b Board
+		var b Tracker
 		have, newest := int64(0), clock.Time(0)
 		version, at := int64(1), clock.Time(1)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			version += rapid.Int64Range(0, 1).Draw(t, "published")
 			at += clock.Time(rapid.IntRange(1, 5).Draw(t, "passed"))
-			b.Note(Config, Mark{Version: version, At: at})
+			b.Record(Config, Confirmation{Version: version, At: at})
 			if rapid.Bool().Draw(t, "taken") {
 				have = version
 			}
