--- a/filter/acknowledge.go
+++ b/filter/acknowledge.go
@@ -9,29 +9,29 @@
 	"endivemoor.example/endivemoor/request"
 )
 
-// askAgainAfter is the advice after an unknown outcome.
-const askAgainAfter = time.Second
+// unknownOutcomeRetryAfter is the retry-after sent with an unknown outcome.
+const unknownOutcomeRetryAfter = time.Second
 
-// Acknowledger holds a commit back until the gate allows its report.
+// Acknowledger delays the report of a commit until the gate permits it.
 type Acknowledger struct {
 	Gate Gate
-	// Guards is set by tests only.
+	// Guards is set only by tests.
 	Guards guard.Set
 }
 
-// Handle asks the gate after the commit and before the answer.
+// Handle consults the gate after the commit and before the answer is sent.
 //
-// Failure guarded against: a primary that was cut off and superseded commits a
-// write which the promotion discards. It shows as a purchase that was
-// confirmed and is gone. The gate looks for proof from another server, asked
-// after the commit; without it the outcome is unknown and said to be so.
+// Failure guarded against: a primary that is cut off and superseded commits a write, and the
+// promotion discards it. The caller sees a confirmed purchase that no longer exists. The gate
+// requires proof from another server, obtained by a query that is sent after the commit. Without
+// that proof the outcome is unknown, and the answer states so.
 func (a Acknowledger) Handle(ctx context.Context, r *Request, next Handler) *Failure {
 	if fail := next(ctx, r); fail != nil {
 		return fail
 	}
 	if r.Committed && !a.Guards.Out(GuardGate) {
 		r.Machine.Pass(request.StepCommitted)
-		if fail := a.await(ctx, r); fail != nil {
+		if fail := a.awaitGate(ctx, r); fail != nil {
 			return fail
 		}
 	}
@@ -39,7 +39,7 @@
 	return nil
 }
 
-func (a Acknowledger) await(ctx context.Context, r *Request) *Failure {
+func (a Acknowledger) awaitGate(ctx context.Context, r *Request) *Failure {
 	ctx, cancel := r.Bounded(ctx)
 	defer cancel()
 	err := a.Gate.Acknowledge(ctx, r.Group, r.Position, r.Kind.Durability)
@@ -48,6 +48,6 @@
 	}
 	return &Failure{
 		Cause: request.FailureUnacknowledged,
-		Err:   outcome.Lost(askAgainAfter, "the commit cannot be confirmed now: %v", err),
+		Err:   outcome.Lost(unknownOutcomeRetryAfter, "the commit cannot be confirmed now: %v", err),
 	}
 }
--- a/filter/admit.go
+++ b/filter/admit.go
@@ -9,9 +9,8 @@
 // Admitter waits for one of the server's statement slots.
 type Admitter struct{ Limiter Admission }
 
-// Handle holds the slot for the whole transaction. If each statement of a
-// transaction asked anew, a transaction that holds locks could wait for a slot
-// of others that wait for its locks.
+// Handle holds the slot for the whole transaction. If each statement acquired a slot separately, a
+// transaction that holds locks could wait for a slot held by transactions that wait for its locks.
 func (a Admitter) Handle(ctx context.Context, r *Request, next Handler) *Failure {
 	release, err := a.Limiter.Acquire(ctx, r.Server.ID, r.Kind, r.Deadline)
 	if err != nil {
--- a/filter/bound.go
+++ b/filter/bound.go
@@ -9,14 +9,14 @@
 	"endivemoor.example/endivemoor/outcome"
 )
 
-// comeBackSoon is the advice when a queue on this proxy is full.
-const comeBackSoon = 250 * time.Millisecond
+// queueFullRetryAfter is the retry-after when the profile's queue on this proxy is full.
+const queueFullRetryAfter = 250 * time.Millisecond
 
-// Bounder bounds the requests of each profile that wait on this proxy.
+// QueueLimiter limits, for each profile, the number of requests that wait on this proxy.
 //
-// Failure guarded against: one service's backlog fills the proxy's memory and
-// queues, which shows as every other service being late. Its own requests are
-// refused instead, at once and before anything was sent.
+// Failure guarded against: the backlog of one service fills the proxy's memory and queues, and the
+// requests of every other service are late. The excess requests of that service are refused
+// instead, immediately and before anything is sent to a target.
 type Bounder struct {
 	waiting sync.Map // profile name -> *atomic.Int64
 }
@@ -27,7 +27,7 @@
 	n := b.counter(p.Name)
 	defer n.Add(-1)
 	if n.Add(1) > int64(p.MaxQueued) && p.MaxQueued > 0 {
-		return Refusal(outcome.Refuse(outcome.CodeOverloaded, comeBackSoon,
+		return Refusal(outcome.Refuse(outcome.CodeOverloaded, queueFullRetryAfter,
 			"profile %q has %d requests waiting on this proxy", p.Name, p.MaxQueued))
 	}
 	return next(ctx, r)
--- a/filter/changes.go
+++ b/filter/changes.go
@@ -8,12 +8,12 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// viewPoll is how often the view is looked at while requests wait for a change.
-const viewPoll = 5 * time.Millisecond
+// viewPollInterval is the interval at which the view is polled while requests wait for a change.
+const viewPollInterval = 5 * time.Millisecond
 
-// Changes lets requests wait for a new view. One goroutine looks at the holder
-// for all of them, and only while there are any: thousands of writes that wait
-// for a promotion cost one look and one wake-up each.
+// ViewChanges lets requests wait for a new view. One goroutine polls the holder for all waiting
+// requests, and runs only while there are any: for thousands of writes that wait for a promotion,
+// the cost is one poll in total and one wake-up each.
 type Changes struct {
 	views *view.Holder
 
@@ -23,19 +23,19 @@
 	changed chan struct{}
 }
 
-// NewChanges returns Changes over the holder.
+// NewViewChanges returns a ViewChanges that polls h.
 func NewChanges(h *view.Holder) *Changes {
 	return &Changes{views: h, changed: make(chan struct{})}
 }
 
-// Wait returns when the view is another than old, after d, or with the error of
-// ctx.
+// Wait returns nil when the view differs from old or after d, and the error of ctx if ctx ends
+// first.
 func (c *Changes) Wait(ctx context.Context, old *view.View, d time.Duration) error {
-	changed := c.join(old)
+	changed := c.subscribe(old)
 	if changed == nil {
 		return ctx.Err()
 	}
-	defer c.leave()
+	defer c.unsubscribe()
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -48,9 +48,9 @@
 	}
 }
 
-// join returns a channel that is closed at the next change, or nil if the view
-// is another one already.
-func (c *Changes) join(old *view.View) <-chan struct{} {
+// subscribe returns a channel that is closed at the next change, or nil if the view already differs
+// from old.
+func (c *Changes) subscribe(old *view.View) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.views.Load() != old {
@@ -59,29 +59,30 @@
 	c.waiters++
 	if c.waiters == 1 {
 		c.seen = old
-		go c.look()
+		go c.pollUntilUnused()
 	}
 	return c.changed
 }
 
-func (c *Changes) leave() {
+func (c *Changes) unsubscribe() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.waiters--
 }
 
-func (c *Changes) look() {
-	tick := time.NewTicker(viewPoll)
+func (c *Changes) pollUntilUnused() {
+	tick := time.NewTicker(viewPollInterval)
 	defer tick.Stop()
 	for range tick.C {
-		if !c.lookOnce() {
+		if !c.poll() {
 			return
 		}
 	}
 }
 
-// lookOnce reports whether anybody still waits.
-func (c *Changes) lookOnce() bool {
+// poll wakes the waiting requests if the view has changed, and reports whether any request still
+// waits.
+func (c *Changes) poll() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if v := c.views.Load(); v != c.seen {
--- a/filter/deadline.go
+++ b/filter/deadline.go
@@ -7,13 +7,13 @@
 	"endivemoor.example/endivemoor/request"
 )
 
-// DefaultDeadline is used for kinds that state none.
+// DefaultDeadline applies to kinds that declare no deadline.
 const DefaultDeadline = 5 * time.Second
 
 // Timer sets the deadline and starts the request's state machine.
 type Timer struct{}
 
-// Handle counts from when the whole request was read.
+// Handle measures the deadline from the time at which the whole request was read.
 func (Timer) Handle(ctx context.Context, r *Request, next Handler) *Failure {
 	r.Extend(r.Start)
 	r.Machine = request.New(request.Terms{
--- a/filter/doc.go
+++ b/filter/doc.go
@@ -1,26 +1,26 @@
-// Package filter is the chain that a request passes from the caller's socket to
-// a target and back. A request is one transaction: one query, one batch of the
-// extended protocol, or everything from BEGIN to COMMIT.
+// Package filter is the chain of filters that a request passes between the caller's socket and a
+// target. A request is one transaction: one query, one batch of the extended protocol, or
+// everything from BEGIN to COMMIT. Begin with Request, Filter and Chain.
 //
-// Each filter has one job and one file. From the outside in:
+// Each filter has one responsibility and one file. From the outside in:
 //
-//	Recorder     one typed record of every decision, at the end
-//	Tagger       kind and key from the caller's comment
-//	Classifier   the kind within the session's profile
-//	KeyPolicy    a key where the kind requires one
-//	Timer        the deadline
-//	Bounder      no more waiting requests than the profile allows
-//	Floorer      what the session must see
-//	Retrier      attempts, within deadline and budget
-//	Resolver     learns by its key if a transaction without an answer committed
-//	Watermarker  raises the session's watermark by what was acknowledged
-//	Acknowledger the gate: no commit is reported that may have been superseded
-//	Router       a server that qualifies, waiting for one if it pays
-//	Witness      proof that the primary of an exact read leads
-//	Admitter     a slot of that server
-//	Executor     a connection, and the protocol work on it
+//	Recorder     writes one typed record of every decision when the request ends
+//	Tagger       reads the kind and the key from the caller's comment
+//	Classifier   finds the kind in the session's profile
+//	KeyPolicy    requires a key where the kind does
+//	Timer        sets the deadline
+//	QueueLimiter limits the waiting requests of each profile
+//	Floorer      finds the position that the session must see
+//	Retrier      makes attempts, within deadline and retry budget
+//	Resolver     looks up by key whether a transaction without an answer committed
+//	Watermarker  raises the session's watermark to the acknowledged position
+//	Acknowledger reports no commit that may have been superseded (the gate)
+//	Router       chooses a server that qualifies, and waits for one if time permits
+//	Witness      proves that the primary of an exact read leads
+//	Admitter     acquires a statement slot of that server
+//	Executor     acquires a connection and runs the protocol work on it
 //
-// Every attempt loads the view once, by one atomic read, and all filters of
-// that attempt use this picture. A filter says why it stopped a request by a
-// *Failure; the retrier alone decides what follows, by request.Machine.
+// Every attempt loads the view once, by one atomic read, and all filters of the attempt use this
+// snapshot. A filter that stops a request returns the reason as a *Failure. Only the retrier
+// decides what follows, by request.Machine. The package does not parse the wire protocol: Work does.
 package filter
--- a/filter/execute.go
+++ b/filter/execute.go
@@ -10,18 +10,18 @@
 	"endivemoor.example/endivemoor/request"
 )
 
-// connectRetry is the least advice when no connection can be had.
-const connectRetry = 250 * time.Millisecond
+// connectRetryAfter is the minimum retry-after when no connection is available.
+const connectRetryAfter = 250 * time.Millisecond
 
-// Executor owns a connection for the time of the transaction. It is the last
-// filter of the chain.
+// Executor holds a connection for the duration of the transaction. It is the last filter of the
+// chain.
 type Executor struct {
 	Pool    Connections
 	Running *Running
 }
 
-// Handle runs the request's protocol work and gives the connection back. The
-// pool takes it only if it is proven clean.
+// Handle runs the request's protocol work and releases the connection. The pool reuses it only if
+// it is proven clean.
 func (e Executor) Handle(ctx context.Context, r *Request, _ Handler) *Failure {
 	lease, fail := e.connect(ctx, r)
 	if fail != nil {
@@ -45,15 +45,15 @@
 }
 
 func connectFailure(r *Request, err error) *Failure {
-	f := &Failure{Cause: request.FailureConnect, Wait: connectRetry}
-	var gone *pool.UnavailableError
+	f := &Failure{Cause: request.FailureConnect, Wait: connectRetryAfter}
+	var unavailable *pool.UnavailableError
 	switch {
-	case errors.As(err, &gone):
-		f.Wait = max(gone.RetryAfter, time.Millisecond)
+	case errors.As(err, &unavailable):
+		f.Wait = max(unavailable.RetryAfter, time.Millisecond)
 	case errors.Is(err, context.DeadlineExceeded):
 		f.Cause = request.FailureDeadline
 	}
-	f.Err = outcome.Refuse(outcome.CodeTooManyConnections, max(f.Wait, connectRetry),
+	f.Err = outcome.Refuse(outcome.CodeTooManyConnections, max(f.Wait, connectRetryAfter),
 		"no connection to a server of group %q: %v", r.Group.Name, err)
 	return f
 }
--- a/filter/guards.go
+++ b/filter/guards.go
@@ -2,10 +2,10 @@
 
 import "endivemoor.example/endivemoor/internal/guard"
 
-// Guards that a test may take out.
+// Guards that a test may disable.
 const (
-	// GuardGate holds commits back until they are shown to be kept.
+	// GuardGate delays the report of a commit until it is proven that no promotion discards it.
 	GuardGate guard.Name = "filter/acknowledge-gate"
-	// GuardFloor asks for the floor of a session without a token.
+	// GuardFloor queries the primary for the floor of a session without a token.
 	GuardFloor guard.Name = "filter/witnessed-floor"
 )
--- a/filter/key.go
+++ b/filter/key.go
@@ -9,9 +9,9 @@
 // KeyPolicy enforces request keys.
 type KeyPolicy struct{}
 
-// Handle refuses a request of a kind that requires a key and has none: it
-// could not be asked for again without the risk of running twice. A read needs
-// no key, and one that is sent with it would be a write.
+// Handle refuses a request without a key if its kind requires one: sending such a request again
+// could run it twice. A read needs no key, and a read with a key would have to be treated as a
+// write, so it is refused.
 func (KeyPolicy) Handle(ctx context.Context, r *Request, next Handler) *Failure {
 	if !r.Executes {
 		r.Tag.Key = ""
--- a/filter/kind.go
+++ b/filter/kind.go
@@ -7,8 +7,8 @@
 // Classifier finds the request's kind in the session's profile.
 type Classifier struct{}
 
-// Handle refuses a kind that the profile does not declare: guessing would
-// choose a deadline and a durability that nobody reviewed.
+// Handle refuses a kind that the profile does not declare: any default would apply a deadline and a
+// durability that nobody reviewed.
 func (Classifier) Handle(ctx context.Context, r *Request, next Handler) *Failure {
 	r.Kind = r.Session.Profile.KindOf(r.Tag.Kind)
 	if r.Kind == nil {
--- a/filter/metrics.go
+++ b/filter/metrics.go
@@ -6,12 +6,12 @@
 	"endivemoor.example/endivemoor/outcome"
 )
 
-// Metrics is a Sink that counts.
+// Metrics is a Sink that counts requests.
 //
-//	endivemoor_requests_total{kind,outcome}   requests by how they ended
-//	endivemoor_request_seconds{kind}          time to the answer, done only
-//	endivemoor_reads_total{kind,served_by}    declared reads, replica or primary
-//	endivemoor_retries_total{failure}         attempts made again by the proxy
+//	endivemoor_requests_total{kind,outcome}   requests by outcome
+//	endivemoor_request_seconds{kind}          time to the answer; only outcome "done"
+//	endivemoor_reads_total{kind,served_by}    declared reads; replica or primary
+//	endivemoor_retries_total{failure}         attempts repeated by the proxy, by the preceding failure
 //	endivemoor_refusals_total{kind,code}      requests without an answer, by SQLSTATE
 type Metrics struct {
 	requests *prometheus.CounterVec
@@ -21,7 +21,7 @@
 	refusals *prometheus.CounterVec
 }
 
-// latencyBuckets run from half a millisecond to about 8 s.
+// latencyBuckets range from half a millisecond to about 8 s.
 var latencyBuckets = prometheus.ExponentialBuckets(0.0005, 2, 15)
 
 // NewMetrics registers the request metrics.
--- a/filter/record.go
+++ b/filter/record.go
@@ -10,8 +10,8 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// Record tells why a request went where it did and how it ended. It is
-// immutable once it was handed to a Sink.
+// Record states why a request was routed as it was and how it ended. It is immutable once it is
+// passed to a Sink.
 type Record struct {
 	ID       uint64 `json:"id"`
 	Session  uint64 `json:"session"`
@@ -21,32 +21,32 @@
 	Kind     string `json:"kind"`
 	Keyed    bool   `json:"keyed"`
 	Explicit bool   `json:"explicit"`
-	// Read says that the kind is declared a read.
+	// Read is set if the kind is declared a read.
 	Read bool `json:"read"`
-	// Replica says that a replica served it.
+	// Replica is set if a replica served the request.
 	Replica     bool              `json:"replica"`
 	Floor       timeline.Position `json:"floor"`
 	FloorSource string            `json:"floor_source"`
 	Attempts    []Attempt         `json:"attempts"`
-	// Position is that of the acknowledged commit; zero if there was none.
+	// Position is the position of the acknowledged commit; zero if there was none.
 	Position   timeline.Position `json:"position"`
 	Outcome    string            `json:"outcome"`
 	Code       outcome.SQLSTATE  `json:"code,omitempty"`
 	Message    string            `json:"message,omitempty"`
 	RetryAfter time.Duration     `json:"retry_after,omitempty"`
-	// Took is the time from the whole request to its answer.
+	// Took is the time from the receipt of the whole request to its answer.
 	Took time.Duration `json:"took"`
 }
 
-// Attempt is one try at one server, with the evidence of the choice.
+// Attempt is one attempt at one server, with the evidence of the choice.
 type Attempt struct {
 	Server target.ID     `json:"server"`
 	Term   timeline.Term `json:"term"`
-	// Route is the router's reason.
+	// Route is the reason for the router's choice.
 	Route string `json:"route"`
-	// After is the time since the request's start.
+	// After is the time from the request's start to the attempt.
 	After time.Duration `json:"after"`
-	// Step is the last one passed; Failure and Why are empty on success.
+	// Step is the last step passed. Failure and Why are empty on success.
 	Step    string         `json:"step"`
 	Failure string         `json:"failure,omitempty"`
 	Error   string         `json:"error,omitempty"`
@@ -80,20 +80,20 @@
 	Record(rec *Record)
 }
 
-// Sinks hands a record to several.
+// Sinks passes each record to several sinks.
 type Sinks []Sink
 
-// Record hands rec to each sink.
+// Record passes rec to each sink.
 func (s Sinks) Record(rec *Record) {
 	for _, x := range s {
 		x.Record(rec)
 	}
 }
 
-// Recorder completes the record.
+// Recorder completes the record of a request and passes it to its sink.
 type Recorder struct{ Sink Sink }
 
-// Handle fills the record in when the request has ended.
+// Handle completes the record after the request has ended.
 func (f Recorder) Handle(ctx context.Context, r *Request, next Handler) *Failure {
 	fail := next(ctx, r)
 	rec := &r.Record
--- a/filter/resolve.go
+++ b/filter/resolve.go
@@ -9,19 +9,18 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// Resolver learns whether a keyed transaction committed when the answer to its
-// COMMIT is lost or cannot be acknowledged.
+// Resolver determines whether a keyed transaction committed when the answer to its COMMIT is lost
+// or cannot be acknowledged.
 //
-// Failure guarded against: a reservation is committed and the connection breaks
-// before the answer. The caller would hear "unknown" although the target knows.
-// The key's row is part of the transaction, so finding it at the current
-// primary proves the commit, and the gate then proves the primary. Not finding
-// it proves nothing at the same primary: the COMMIT may still be on its way, so
-// the proxy looks again a few times. At the primary of a later term it will not
-// be found any more. Either way the caller then hears "unknown" at once.
+// Failure guarded against: a reservation commits and the connection breaks before the answer
+// arrives. The caller would receive "unknown" although the target has the result. The key's row is
+// part of the transaction, so finding it at the current primary proves the commit, and the gate
+// then proves the primary. Not finding it at the same primary proves nothing, because the COMMIT
+// may still be in transit, so the proxy repeats the lookup a few times. If the key is missing at
+// the primary of a later term, it will not appear any more. In both cases the caller then receives
+// "unknown" without further delay.
 //
-// Requests that are one batch need no Resolver: the retrier repeats them under
-// their key.
+// Requests that consist of one batch need no Resolver: the retrier repeats them under their key.
 type Resolver struct {
 	View    *view.Holder
 	Changes *Changes
@@ -29,25 +28,25 @@
 	Lookup  Handler
 }
 
-// maxLookups bounds the looks for a key that is not there; with the waits
-// between them they last about half a second.
+// maxLookups limits the lookups of a key that is not found. With the waits between them they take
+// about half a second.
 const maxLookups = 6
 
-// Handle asks for the key until it is found, is not to be found, or time runs
-// out.
+// Handle repeats the lookup until the key is found, cannot be found any more, or the deadline is
+// reached.
 func (f Resolver) Handle(ctx context.Context, r *Request, next Handler) *Failure {
 	fail := next(ctx, r)
-	if fail == nil || !r.Resolvable || !open(fail.Cause) {
+	if fail == nil || !r.Resolvable || !outcomeOpen(fail.Cause) {
 		return fail
 	}
-	sentUnder := r.Term
-	for n := 1; r.Left() > viewPoll; n++ {
+	sentTerm := r.Term
+	for n := 1; r.Left() > viewPollInterval; n++ {
 		r.Load(f.View)
-		looked := f.Lookup(ctx, r)
-		if looked == nil {
+		lookupFailure := f.Lookup(ctx, r)
+		if lookupFailure == nil {
 			return nil
 		}
-		if looked.Missing && (n >= maxLookups || r.Term > sentUnder) {
+		if lookupFailure.Missing && (n >= maxLookups || r.Term > sentTerm) {
 			break
 		}
 		if f.Changes.Wait(ctx, r.View, min(f.Budgets.delay(n), r.Left())) != nil {
@@ -57,8 +56,8 @@
 	return fail
 }
 
-// open reports whether a failure leaves the outcome of a sent COMMIT open.
-func open(f request.Failure) bool {
+// outcomeOpen reports whether a failure leaves the outcome of a sent COMMIT unknown.
+func outcomeOpen(f request.Failure) bool {
 	switch f {
 	case request.FailureLost, request.FailureSuperseded, request.FailureUnacknowledged:
 		return true
@@ -66,10 +65,10 @@
 	return false
 }
 
-// Searcher is the last filter of a lookup.
+// Searcher is the last filter of the lookup chain.
 type Searcher struct{ Pool Connections }
 
-// Handle looks for the key on a connection of its own.
+// Handle looks up the key on a separate connection.
 func (f Searcher) Handle(ctx context.Context, r *Request, _ Handler) *Failure {
 	lease, err := f.Pool.Acquire(ctx, r.Server, r.View.FleetSize, r.Left())
 	if err != nil {
@@ -79,11 +78,11 @@
 	return r.Work.Resolve(r, lease)
 }
 
-// Missing says that a lookup did not find the key.
+// Missing returns the failure of a lookup that did not find the key.
 func Missing() *Failure {
 	return &Failure{
 		Cause:   request.FailureLost,
-		Err:     outcome.Lost(askAgainAfter, "the key is not at the primary"),
+		Err:     outcome.Lost(unknownOutcomeRetryAfter, "the key is not at the primary"),
 		Missing: true,
 	}
 }
--- a/filter/retry.go
+++ b/filter/retry.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// retryBase and retryMax bound the jittered wait between attempts.
+	// retryBase and retryMax limit the jittered delay between attempts.
 	retryBase = 10 * time.Millisecond
 	retryMax  = 250 * time.Millisecond
 )
 
-// Retrier makes further attempts where that is safe.
+// Retrier repeats attempts where that is safe.
 type Retrier struct {
 	View    *view.Holder
 	Changes *Changes
@@ -26,46 +26,47 @@
 	Sleep   Sleeper
 }
 
-// Handle makes attempts until one succeeds or the machine says stop. The final
-// answer is then given at once, with the outcome that the machine derives.
+// Handle makes attempts until one succeeds or the machine permits no other. It then returns the
+// final failure without further delay, with the outcome that the machine derives.
 func (f Retrier) Handle(ctx context.Context, r *Request, next Handler) *Failure {
-	budget := f.Budgets.of(r.Group.Name)
+	budget := f.Budgets.forGroup(r.Group.Name)
 	budget.Request(r.Start)
 	for {
 		fail := next(ctx, r)
 		if fail == nil {
 			return nil
 		}
-		if waitable(r, fail) {
+		if canWaitQueued(r, fail) {
 			if f.awaitServer(ctx, r, fail) {
 				continue
 			}
-			return f.final(r, fail, request.Verdict{Outcome: r.Machine.Outcome(), Why: request.ReasonDeadline})
+			return f.finalFailure(r, fail, request.Verdict{Outcome: r.Machine.Outcome(), Why: request.ReasonDeadline})
 		}
 		v := r.Machine.Fail(fail.Cause, r.Clock.Now(), budget)
 		r.Record.fail(r, fail, v)
-		if !v.Retry || fail.Gone || fail.Fatal || !f.pause(ctx, r, fail) {
-			return f.final(r, fail, v)
+		if !v.Retry || fail.Gone || fail.Fatal || !f.waitBeforeRetry(ctx, r, fail) {
+			return f.finalFailure(r, fail, v)
 		}
 		r.Machine.Again()
 	}
 }
 
-// waitable reports whether the request stays where it is, queued, for a server
-// to come back. That costs a target nothing, since the pool alone decides when
-// a connection is tried, so it needs no leave of the budget.
-func waitable(r *Request, fail *Failure) bool {
+// canWaitQueued reports whether the request may stay queued until a server is reachable again. The
+// wait puts no load on a target, because only the pool decides when a connection is attempted, so
+// it takes nothing from the retry budget.
+func canWaitQueued(r *Request, fail *Failure) bool {
 	return fail.Cause == request.FailureConnect && r.Machine.State() == request.Queued
 }
 
-// awaitServer waits until the server's rest is over or the view has another
-// primary. It reports false if the deadline would come first.
+// awaitServer waits until the server's backoff ends or the view has another term for the group. If
+// the backoff ends after the deadline, only another term can help. It reports false if the deadline
+// comes first or ctx ends.
 func (f Retrier) awaitServer(ctx context.Context, r *Request, fail *Failure) bool {
 	until := r.Clock.Now().Add(fail.Wait)
 	if !until.Before(r.Deadline) {
 		return f.awaitTerm(ctx, r)
 	}
-	for !f.renew(r) {
+	for !f.reloadView(r) {
 		left := until.Sub(r.Clock.Now())
 		if left <= 0 {
 			return true
@@ -77,11 +78,11 @@
 	return true
 }
 
-// awaitTerm waits until the view has another term for the group. It reports
-// false if there is no time left to use it.
+// awaitTerm waits until the view has another term for the group. It reports false if too little
+// time is left to use it, or if ctx ends.
 func (f Retrier) awaitTerm(ctx context.Context, r *Request) bool {
-	for !f.renew(r) {
-		left := r.Left() - viewPoll
+	for !f.reloadView(r) {
+		left := r.Left() - viewPollInterval
 		if left <= 0 || f.Changes.Wait(ctx, r.View, left) != nil {
 			return false
 		}
@@ -89,17 +90,17 @@
 	return true
 }
 
-// renew takes a new picture and reports whether the primary changed. The floor
-// is not asked for again: positions only grow.
-func (f Retrier) renew(r *Request) bool {
+// reloadView takes a new snapshot of the view and reports whether the group's term changed. The
+// floor is not fetched again, because positions only increase.
+func (f Retrier) reloadView(r *Request) bool {
 	term := r.Group.Term
 	r.Load(f.View)
 	return r.Group.Term != term
 }
 
-// pause waits before a repeat. After a refusal by a superseded server only
-// another term can help.
-func (f Retrier) pause(ctx context.Context, r *Request, fail *Failure) bool {
+// waitBeforeRetry waits before an attempt is repeated, and reports whether it may be made. After a
+// refusal by a superseded server only another term can help.
+func (f Retrier) waitBeforeRetry(ctx context.Context, r *Request, fail *Failure) bool {
 	switch fail.Cause {
 	case request.FailureFenced, request.FailureSuperseded:
 		return f.awaitTerm(ctx, r)
@@ -108,25 +109,25 @@
 	if d >= r.Left() || f.Sleep(ctx, d) != nil {
 		return false
 	}
-	f.renew(r)
+	f.reloadView(r)
 	return true
 }
 
-// final turns the failure into the caller's answer. The outcome is the
-// machine's word, never that of the last attempt alone.
-func (f Retrier) final(r *Request, fail *Failure, v request.Verdict) *Failure {
+// finalFailure converts the failure into the answer to the caller. Its outcome is the one that the
+// machine derives from all attempts, not only from the last one.
+func (f Retrier) finalFailure(r *Request, fail *Failure, v request.Verdict) *Failure {
 	if v.Outcome == outcome.Unknown && fail.Err.Outcome == outcome.NotRun {
-		fail.Err = outcome.Lost(max(fail.Err.RetryAfter, askAgainAfter), "the request may have run: %s", fail.Err.Message)
+		fail.Err = outcome.Lost(max(fail.Err.RetryAfter, unknownOutcomeRetryAfter), "the request may have run: %s", fail.Err.Message)
 	}
 	if v.Outcome == outcome.NotRun && fail.Err.Outcome == outcome.Unknown {
-		fail.Err = outcome.Refuse(outcome.CodeCannotConnectNow, max(fail.Err.RetryAfter, noServerRetry),
+		fail.Err = outcome.Refuse(outcome.CodeCannotConnectNow, max(fail.Err.RetryAfter, noServerRetryAfter),
 			"the request did not run: %s", fail.Err.Message)
 	}
 	return fail
 }
 
-// Budgets keeps one retry budget for each group, and the jitter of waits. It is
-// safe for concurrent use.
+// Budgets holds one retry budget for each group and the random source of the jitter. It is safe for
+// concurrent use.
 type Budgets struct {
 	cfg    retry.Config
 	groups sync.Map // group name -> *retry.Budget
@@ -135,12 +136,12 @@
 	rnd *rand.Rand
 }
 
-// NewBudgets returns budgets with the given setting and seed of jitter.
+// NewBudgets returns budgets with the given configuration and jitter seed.
 func NewBudgets(cfg retry.Config, seed uint64) *Budgets {
 	return &Budgets{cfg: cfg, rnd: rand.New(rand.NewPCG(seed, 2))}
 }
 
-func (b *Budgets) of(group string) *retry.Budget {
+func (b *Budgets) forGroup(group string) *retry.Budget {
 	if x, ok := b.groups.Load(group); ok {
 		return x.(*retry.Budget)
 	}
--- a/filter/retry_test.go
+++ b/filter/retry_test.go
@@ -17,15 +17,15 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// bench is a Retrier over a scripted rest of the chain.
-type bench struct {
+// retryFixture is a Retrier whose next handlers are scripted.
+type retryFixture struct {
 	views   *view.Holder
 	retrier Retrier
 	sent    int
 }
 
-func newBench(cfg retry.Config) *bench {
-	b := &bench{views: view.NewHolder()}
+func newRetryFixture(cfg retry.Config) *retryFixture {
+	b := &retryFixture{views: view.NewHolder()}
 	b.publish(1)
 	b.retrier = Retrier{
 		View: b.views, Changes: NewChanges(b.views), Budgets: NewBudgets(cfg, 1),
@@ -34,13 +34,13 @@
 	return b
 }
 
-func (b *bench) publish(term timeline.Term) {
+func (b *retryFixture) publish(term timeline.Term) {
 	b.views.Update(func(v *view.View) {
 		v.Groups = map[string]*view.Group{"g": {Name: "g", Term: term}}
 	})
 }
 
-func (b *bench) request(t request.Terms, left time.Duration) *Request {
+func (b *retryFixture) request(t request.Terms, left time.Duration) *Request {
 	clk := monotonic.New()
 	r := &Request{
 		Clock: clk, Start: clk.Now(), Deadline: clk.Now().Add(left), Kind: &profile.Kind{},
@@ -52,8 +52,8 @@
 	return r
 }
 
-// fail returns a rest of the chain that passes step and then fails n times.
-func (b *bench) fail(step request.Step, f request.Failure, n int) Handler {
+// fail returns a next handler that passes step, fails n times and then succeeds.
+func (b *retryFixture) fail(step request.Step, f request.Failure, n int) Handler {
 	return func(_ context.Context, r *Request) *Failure {
 		r.Machine.Pass(step)
 		if step >= request.StepSent {
@@ -67,10 +67,10 @@
 	}
 }
 
-// A database is down and a thousand idempotent requests fail. If each were sent
-// again, the load would double just when there is least room for it.
+// Failure guarded against: a database is down and a thousand idempotent requests fail. If each were
+// sent again, the load would double when there is least capacity for it.
 func TestBudgetBoundsAttemptsInAnOutage(t *testing.T) {
-	b := newBench(retry.Config{})
+	b := newRetryFixture(retry.Config{})
 	const requests = 1000
 	for range requests {
 		r := b.request(request.Terms{Idempotent: true}, time.Hour)
@@ -81,19 +81,19 @@
 	require.Greater(t, b.sent, requests)
 }
 
-// A write that may not be repeated is sent once, whatever the budget.
+// A write that must not be repeated is sent once, whatever the budget.
 func TestUnrepeatableWriteIsSentOnce(t *testing.T) {
-	b := newBench(retry.Config{Burst: 100})
+	b := newRetryFixture(retry.Config{Burst: 100})
 	fail := b.retrier.Handle(context.Background(), b.request(request.Terms{}, time.Hour),
 		b.fail(request.StepSent, request.FailureLost, 1))
 	require.Equal(t, outcome.CodeResolutionUnknown, fail.Err.Code)
 	require.Equal(t, 1, b.sent)
 }
 
-// The answer says "unknown" in its code whenever an earlier attempt may have
-// run, although the last one was refused before it was sent.
-func TestFinalAnswerIsTheMachinesWord(t *testing.T) {
-	b := newBench(retry.Config{Burst: 100})
+// The code of the answer is "unknown" whenever an earlier attempt may have run, even if the last
+// one was refused before it was sent.
+func TestFinalAnswerHasTheMachinesOutcome(t *testing.T) {
+	b := newRetryFixture(retry.Config{Burst: 100})
 	n := 0
 	next := func(_ context.Context, r *Request) *Failure {
 		n++
@@ -109,10 +109,10 @@
 	require.Positive(t, fail.Err.RetryAfter)
 }
 
-// A primary is gone and the view has not changed. A queued write stays where it
-// is without drawing on the budget, and goes on when a new term is published.
+// A primary is unreachable and the view has not changed. A queued write waits without using the
+// retry budget, and continues when a new term is published.
 func TestQueuedWriteWaitsForANewTermWithoutBudget(t *testing.T) {
-	b := newBench(retry.Config{Burst: 1})
+	b := newRetryFixture(retry.Config{Burst: 1})
 	r := b.request(request.Terms{}, time.Hour)
 	var tries atomic.Int32
 	next := func(_ context.Context, r *Request) *Failure {
@@ -132,10 +132,10 @@
 	require.Equal(t, 1, r.Machine.Attempts())
 }
 
-// The server's rest outlasts the caller's deadline and no promotion comes: the
-// request is given up as "not run".
+// The server's backoff lasts longer than the caller's deadline and no promotion follows: the
+// request fails as "not run".
 func TestQueuedWriteIsGivenUpAtItsDeadline(t *testing.T) {
-	b := newBench(retry.Config{})
+	b := newRetryFixture(retry.Config{})
 	next := func(_ context.Context, r *Request) *Failure {
 		return &Failure{Cause: request.FailureConnect, Err: outcome.Refuse(outcome.CodeTooManyConnections, time.Second, "down"), Wait: time.Hour}
 	}
@@ -144,8 +144,8 @@
 	require.Equal(t, time.Second, fail.Err.RetryAfter)
 }
 
-func TestWaitersShareOneLook(t *testing.T) {
-	b := newBench(retry.Config{})
+func TestWaitersShareOnePoll(t *testing.T) {
+	b := newRetryFixture(retry.Config{})
 	c := NewChanges(b.views)
 	old := b.views.Load()
 	done := make(chan error, 100)
@@ -162,19 +162,19 @@
 	for range cap(done) {
 		require.NoError(t, <-done)
 	}
-	require.NoError(t, c.Wait(context.Background(), old, time.Hour), "the change is in the past")
+	require.NoError(t, c.Wait(context.Background(), old, time.Hour), "the view has already changed")
 }
 
 func TestBounderRefusesAtOnce(t *testing.T) {
-	b := newBench(retry.Config{})
+	b := newRetryFixture(retry.Config{})
 	r := b.request(request.Terms{}, time.Hour)
 	r.Session.Profile.MaxQueued = 1
-	bounder := &Bounder{}
-	fail := bounder.Handle(context.Background(), r, func(ctx context.Context, r *Request) *Failure {
-		return bounder.Handle(ctx, r, func(context.Context, *Request) *Failure { return nil })
+	limiter := &Bounder{}
+	fail := limiter.Handle(context.Background(), r, func(ctx context.Context, r *Request) *Failure {
+		return limiter.Handle(ctx, r, func(context.Context, *Request) *Failure { return nil })
 	})
 	require.Equal(t, outcome.CodeOverloaded, fail.Err.Code)
-	require.Nil(t, bounder.Handle(context.Background(), r, func(context.Context, *Request) *Failure { return nil }))
+	require.Nil(t, limiter.Handle(context.Background(), r, func(context.Context, *Request) *Failure { return nil }))
 }
 
 func TestParseTag(t *testing.T) {
--- a/filter/route.go
+++ b/filter/route.go
@@ -11,15 +11,15 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// Chooser is routing.Router's side.
+// Chooser chooses a server for a request. routing.Router implements it.
 type Chooser interface {
 	Route(v *view.View, g *view.Group, r routing.Request) routing.Decision
 }
 
-// noServerRetry is the least advice when no server qualifies.
-const noServerRetry = 250 * time.Millisecond
+// noServerRetryAfter is the minimum retry-after when no server qualifies.
+const noServerRetryAfter = 250 * time.Millisecond
 
-// Router finds the server, waiting for one while that can pay.
+// Router chooses the server, and waits for one as long as the deadline permits.
 type Router struct {
 	Chooser Chooser
 	View    *view.Holder
@@ -30,7 +30,7 @@
 // Sleeper waits for d or until ctx ends.
 type Sleeper func(ctx context.Context, d time.Duration) error
 
-// Sleep waits on the process's clock.
+// Sleep is the Sleeper that waits in real time.
 func Sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -42,14 +42,14 @@
 	}
 }
 
-// Handle asks for a server until there is one. If the next look would come
-// after the deadline the request is given up, and told so at once.
+// Handle repeats the choice until a server qualifies. If the next try would come after the
+// deadline, the request fails immediately.
 func (f Router) Handle(ctx context.Context, r *Request, next Handler) *Failure {
 	since := r.Clock.Now()
 	for {
 		d := f.choose(r, since)
 		if d.Server != nil {
-			f.take(r, d)
+			f.setServer(r, d)
 			return next(ctx, r)
 		}
 		if d.Wait <= 0 || d.Wait >= r.Left() {
@@ -70,7 +70,7 @@
 	return f.Chooser.Route(r.View, r.Group, q)
 }
 
-func (f Router) take(r *Request, d routing.Decision) {
+func (f Router) setServer(r *Request, d routing.Decision) {
 	r.Decision = d
 	r.Server = d.Server
 	r.Term = r.Group.Term
@@ -82,7 +82,7 @@
 func noServer(r *Request, d routing.Decision) *Failure {
 	return &Failure{
 		Cause: request.FailureNoServer,
-		Err: outcome.Refuse(outcome.CodeCannotConnectNow, max(d.Wait, noServerRetry),
+		Err: outcome.Refuse(outcome.CodeCannotConnectNow, max(d.Wait, noServerRetryAfter),
 			"no server of group %q can take the request now: %s", r.Group.Name, d.Reason),
 	}
 }
--- a/filter/tag.go
+++ b/filter/tag.go
@@ -13,25 +13,25 @@
 	tagClose = "*/"
 	tagKind  = "kind"
 	tagKey   = "key"
-	// MaxKey bounds a request key, in bytes.
+	// MaxKey is the maximum length of a request key, in bytes.
 	MaxKey = 200
 )
 
-// Tag is what a caller says of a request in a leading SQL comment, such as
+// Tag is the information that a caller attaches to a statement in a leading SQL comment, such as
 // "/*endivemoor kind=purchase&key=k7*/".
 //
-// A comment was chosen over SET and startup options: it travels with the
-// statement in one message, so it can neither be lost between two requests nor
-// stick to the wrong one, and drivers pass it through.
+// The tag is a comment and not a SET statement or a startup option because it travels with the
+// statement in one message. It can therefore neither be lost between two requests nor apply to the
+// wrong one, and drivers pass it through unchanged.
 type Tag struct {
 	Kind string
 	Key  string
 }
 
-// IsZero reports whether nothing was said.
+// IsZero reports whether the tag is empty.
 func (t Tag) IsZero() bool { return t == Tag{} }
 
-// merge fills what t leaves open from u, and reports a contradiction.
+// merge fills the empty fields of t from u. It reports false if the two contradict each other.
 func (t Tag) merge(u Tag) (Tag, bool) {
 	kind, okKind := either(t.Kind, u.Kind)
 	key, okKey := either(t.Key, u.Key)
@@ -45,8 +45,8 @@
 	return a, b == "" || a == b
 }
 
-// ParseTag splits a leading tag off sql. Without one the tag is zero and rest
-// is sql itself. An *outcome.Error tells of a malformed tag.
+// ParseTag splits a leading tag off sql. If there is none, the tag is zero and rest is sql itself.
+// A malformed tag is reported as an *outcome.Error.
 func ParseTag(sql string) (tag Tag, rest string, err *outcome.Error) {
 	text := strings.TrimLeft(sql, " \t\r\n")
 	if !strings.HasPrefix(text, tagOpen) {
@@ -84,11 +84,11 @@
 	return outcome.Refuse(outcome.CodeInvalidParameter, 0, format, args...)
 }
 
-// Tagger reduces the tags of a request's statements to one.
+// Tagger merges the tags of a request's statements into one.
 type Tagger struct{}
 
-// Handle refuses a request whose statements contradict each other: it runs as
-// one transaction at one server, so it has one kind and one key.
+// Handle refuses a request whose statements carry contradicting tags: it runs as one transaction at
+// one server, so it has one kind and one key.
 func (Tagger) Handle(ctx context.Context, r *Request, next Handler) *Failure {
 	for _, t := range r.Tags {
 		merged, ok := r.Tag.merge(t)
--- a/filter/watermark.go
+++ b/filter/watermark.go
@@ -5,7 +5,7 @@
 // Watermarker raises the session's watermark.
 type Watermarker struct{}
 
-// Handle raises it by what was acknowledged, before the caller hears of it.
+// Handle raises the watermark to the acknowledged position before the answer is sent to the caller.
 func (Watermarker) Handle(ctx context.Context, r *Request, next Handler) *Failure {
 	fail := next(ctx, r)
 	if fail == nil && r.Committed {
--- a/filter/witness_test.go
+++ b/filter/witness_test.go
@@ -16,10 +16,10 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// floorGate answers Floor with a fixed error and counts the asks.
+// floorGate answers Floor with a fixed error and counts the calls.
 type floorGate struct {
-	err  error
-	asks int
+	err   error
+	calls int
 }
 
 func (g *floorGate) Acknowledge(context.Context, *view.Group, timeline.Position, profile.Durability) error {
@@ -27,7 +27,7 @@
 }
 
 func (g *floorGate) Floor(context.Context, *view.Group) (timeline.Position, error) {
-	g.asks++
+	g.calls++
 	return timeline.Position{}, g.err
 }
 
@@ -43,9 +43,9 @@
 	}
 }
 
-// A balance check of a session with a token goes to a primary that was cut off
-// and superseded a second ago; this proxy does not know. The answer must not
-// be given as if it were current.
+// Failure guarded against: a balance check of a session with a token is routed to a primary that
+// was cut off and superseded a second ago, and this proxy's view does not show it. The answer must
+// not be returned as current.
 func TestExactReadOfASupersededPrimaryIsNotAnswered(t *testing.T) {
 	g := &view.Group{Name: "g", Primary: "a", Servers: []view.Server{{ID: "a"}, {ID: "b"}}}
 	gate := &floorGate{err: errors.New("b has promised term 2")}
@@ -56,7 +56,7 @@
 
 	gate.err = nil
 	require.Nil(t, Witness{gate}.Handle(context.Background(), readAt(&g.Servers[0], g, 0), served))
-	require.Equal(t, 2, gate.asks)
+	require.Equal(t, 2, gate.calls)
 	require.Nil(t, Witness{gate}.Handle(context.Background(), readAt(&g.Servers[1], g, time.Second), served))
-	require.Equal(t, 2, gate.asks, "a read that accepts an age is judged by the router's evidence")
+	require.Equal(t, 2, gate.calls, "a read that accepts an age relies on the router's evidence")
 }
