--- a/pool/alive.go
+++ b/pool/alive.go
@@ -5,22 +5,21 @@
 	"syscall"
 )
 
-// alive looks, without waiting, whether the target has closed an idle
-// connection or sent something on it that nothing asked for.
+// alive checks, without blocking, whether the target has closed an idle connection or has sent
+// unsolicited data on it.
 //
-// Failure guarded against: a primary dies while connections to it are idle. The
-// next write on each of them would be taken by the local kernel and then lost,
-// and its caller would have to be told "unknown" although nothing ran. Found
-// here, the request is still queued.
+// Failure guarded against: a primary dies while connections to it are idle. The local kernel would
+// accept the next write on each of them, the write would be lost, and its caller would have to
+// receive "unknown" although nothing ran. When the check finds the closed connection, the request
+// is still queued.
 func (c *conn) alive() bool { return socketAlive(c.raw.Conn) }
 
-// socketAlive looks at a socket without reading from it.
+// socketAlive checks a socket without consuming data from it.
 //
-// Failure guarded against: the driver reads a connection in the background once a
-// write has taken it long, and that read holds the socket's read lock until bytes
-// come. A look that took the lock as well would wait for ever, and with it the
-// caller that the connection was for. Control takes no lock, and the look itself
-// does not block.
+// Failure guarded against: after a write that takes long, the driver reads the connection in the
+// background, and that read holds the socket's read lock until data arrives. A check that takes the
+// same lock would block forever, together with the caller that waits for the connection. Control
+// takes no lock, and the peek itself does not block.
 func socketAlive(c net.Conn) bool {
 	raw := rawConn(c)
 	if raw == nil {
@@ -35,7 +34,7 @@
 	return err == nil && alive
 }
 
-// rawConn returns the socket below c, or nil if there is none to look at.
+// rawConn returns the socket below c, or nil if c has none that can be checked.
 func rawConn(c net.Conn) syscall.RawConn {
 	if t, ok := c.(interface{ NetConn() net.Conn }); ok {
 		c = t.NetConn()
--- a/pool/dial.go
+++ b/pool/dial.go
@@ -11,9 +11,9 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// NewDialer returns a Dialer that logs in as the connection string says (user,
-// password, database, TLS), whatever server it names: host and port come from
-// the view. SCRAM and TLS are pgconn's; there is no fallback from TLS to plain.
+// NewDialer returns a Dialer that logs in with the user, password, database and TLS settings of
+// connString. Host and port come from the view, whatever server connString names. pgconn provides
+// SCRAM and TLS; there is no fallback from TLS to plain text.
 func NewDialer(connString string) (Dialer, error) {
 	base, err := pgconn.ParseConfig(connString)
 	if err != nil {
--- a/pool/doc.go
+++ b/pool/doc.go
@@ -1,27 +1,25 @@
-// Package pool shares the scarce connections to the targets among callers, one
-// transaction at a time.
+// Package pool shares the limited connections to the targets among callers, one transaction at a
+// time. Begin with Pool.Acquire and Lease.
 //
-// Each server has its own list of connections, bounded by this proxy's share
-// of the server's limit (Share). A connection has exactly one owner, who holds
-// it by a Lease; every use checks the owner's token, so that statements of two
-// transactions never travel on one connection. Waiters are served in order of
-// arrival.
+// The pool keeps a separate list of connections for each server, bounded by this proxy's share of
+// the server's limit (Share). A connection has at most one owner, which holds it through a Lease.
+// Every use checks the owner's token, so that statements of two transactions never travel on one
+// connection. Waiters are served in order of arrival.
 //
-// A connection is given to the next owner only when it is proven clean: the
-// target reported "idle" at the end of the transaction, nobody asked to cancel
-// on it, and the target confirmed DISCARD ALL, which drops settings, prepared
-// statements, temporary tables, cursors and advisory locks. The command tag of
-// a statement is no such proof (a SELECT may call set_config), so the reset is
-// always made. It is sent when the connection is given back, or along with the
-// last statements, and its answer is read at the hand-over: by then it has
-// mostly arrived, and no goroutine has to wait for it. A connection that its
-// owner abandons is closed: a late answer dies with it and cannot reach the
-// next owner.
+// A connection is leased to the next owner only when it is proven clean: the target reported "idle"
+// at the end of the transaction, no cancel request was sent on the connection, and the target
+// confirmed DISCARD ALL, which drops settings, prepared statements, temporary tables, cursors and
+// advisory locks. The command tag of a statement is not sufficient proof (a SELECT may call
+// set_config), so the connection is always reset. The reset is sent when the connection is
+// released, or together with the last statements. Its reply is read when the connection is leased
+// again: in most cases it has arrived by then, and no goroutine has to wait for it. A connection
+// that its owner abandons is closed, so that a late answer cannot reach the next owner.
 //
-// Opening costs the target about 10 ms each, so only a few are opened at once.
-// After a failure the server is left alone for a growing, jittered time, and
-// whoever would have to wait for it is told at once. A new primary therefore
-// sees a few connections of each proxy at a time and no storm.
+// Opening a connection costs the target about 10 ms, so only a few are opened concurrently. After a
+// failure the pool backs off from the server for an increasing, jittered time, and a caller that
+// would have to wait for the server receives an error immediately. A new primary therefore receives
+// only a few new connections from each proxy at a time, and no connection storm.
 //
-// quota is the pure part: counts and times in, decisions out.
+// quota is the pure part of the package: it decides from counts and times that are passed in. The
+// pool does not choose servers; its callers do.
 package pool
--- a/pool/errors.go
+++ b/pool/errors.go
@@ -12,22 +12,22 @@
 func (e poolError) Error() string { return string(e) }
 
 const (
-	// ErrNotOwner says that the lease was released: the connection may already
-	// serve another transaction.
+	// ErrNotOwner means that the lease was released: the connection may already serve another
+	// transaction.
 	ErrNotOwner = poolError("connection is owned by another transaction")
-	// ErrClosed says that the pool was closed.
+	// ErrClosed means that the pool is closed.
 	ErrClosed = poolError("pool is closed")
 )
 
-// UnavailableError says that no connection to the server can be had now.
+// UnavailableError means that no connection to the server is available at present.
 type UnavailableError struct {
 	Server target.ID
-	// RetryAfter is when the next attempt is made.
+	// RetryAfter is the time until the next attempt to open a connection may be made.
 	RetryAfter time.Duration
 	cause      error
 }
 
-// Error names the server and the cause.
+// Error returns the server and the cause.
 func (e *UnavailableError) Error() string {
 	return fmt.Sprintf("no connection to %s: %v", e.Server, e.cause)
 }
--- a/pool/lease.go
+++ b/pool/lease.go
@@ -10,33 +10,33 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// Lease is the ownership of one connection for one transaction. It is used by
-// one goroutine; only Cancel and Break may come from another.
+// Lease is the ownership of one connection for one transaction. It is used by one goroutine; only
+// Cancel and Break may be called from another.
 type Lease struct {
 	pool  *Pool
 	conn  *conn
 	token uint64
-	// status is the transaction status last reported by the target.
+	// status is the transaction status that the target reported last.
 	status byte
-	// pending counts the ReadyForQuery answers still to come.
+	// pending counts the ReadyForQuery messages that are still expected.
 	pending int
-	// resetSent says that the reset was sent along with the last statements.
+	// resetSent is set if the reset was sent together with the last statements.
 	resetSent bool
-	// failed is set by a read or write that failed; both may run at once.
+	// failed is set by a failed read or write; it is atomic because both may run concurrently.
 	failed atomic.Bool
 }
 
-// Server returns the server that the connection leads to.
+// Server returns the server to which the connection is open.
 func (l *Lease) Server() target.ID { return l.conn.server.id }
 
-// owns guards against the use of a connection after it was given back: it
-// would show as the statements of two transactions on one connection. Tokens
-// are never used twice, so a stale lease cannot pass.
+// owns reports whether the lease still owns its connection. Failure guarded against: a connection
+// is used after its release, and statements of two transactions travel on one connection. Tokens
+// are never reused, so a stale lease cannot pass the check.
 func (l *Lease) owns() bool {
 	return l.conn.owner.Load() == l.token || l.pool.cfg.Guards.Out(GuardOwner)
 }
 
-// SetDeadline bounds all reads and writes that follow.
+// SetDeadline limits all following reads and writes.
 func (l *Lease) SetDeadline(t time.Time) error { return l.conn.raw.Conn.SetDeadline(t) }
 
 // Send adds a message to the write buffer.
@@ -52,9 +52,9 @@
 	return nil
 }
 
-// SendReset adds the reset behind the last statements of a transaction, which
-// saves a write and a wake-up of the target. It must only be used if they cannot
-// leave a transaction open: the target would refuse the reset and fail it.
+// SendReset appends the reset to the last statements of a transaction, which saves a write and a
+// wake-up of the target. It must be used only if these statements cannot leave a transaction open:
+// the target would refuse the reset, and the refusal would fail that transaction.
 func (l *Lease) SendReset() error {
 	if !l.owns() {
 		return ErrNotOwner
@@ -96,12 +96,12 @@
 	return m, nil
 }
 
-// TxStatus returns the transaction status last reported by the target.
+// TxStatus returns the transaction status that the target reported last.
 func (l *Lease) TxStatus() byte { return l.status }
 
-// Cancel asks the target to stop the statement that runs on this lease. The
-// connection is never given to another owner afterwards: the cancel may take
-// effect late, and would then hit a stranger's statement.
+// Cancel requests that the target stop the statement that runs on this lease. The connection is
+// never leased again afterwards: the cancel may take effect late and would then stop another
+// owner's statement.
 func (l *Lease) Cancel(ctx context.Context) error {
 	l.conn.tainted.Store(true)
 	if !l.owns() {
@@ -110,9 +110,9 @@
 	return l.conn.cancel(ctx)
 }
 
-// Release gives the connection back if its transaction has ended and the reset
-// could be sent, and closes it otherwise. The next owner reads the answer to
-// the reset before it sends anything. A second call does nothing.
+// Release returns the connection to the pool if its transaction has ended and the reset could be
+// sent, and closes it otherwise. The next owner reads the reply to the reset before it sends
+// anything. A second call does nothing.
 func (l *Lease) Release() {
 	if !l.conn.owner.CompareAndSwap(l.token, 0) {
 		return
@@ -122,39 +122,40 @@
 		return
 	}
 	if l.pool.cfg.Guards.Out(GuardReset) {
-		l.pool.giveBack(l.conn)
+		l.pool.returnConn(l.conn)
 		return
 	}
 	if !l.resetSent && l.conn.sendReset(time.Now().Add(l.pool.cfg.DialTimeout)) != nil {
 		l.pool.drop(l.conn)
 		return
 	}
-	l.conn.unproven = true
-	l.pool.giveBack(l.conn)
+	l.conn.resetPending = true
+	l.pool.returnConn(l.conn)
 }
 
-// finished reports whether all answers were read and the transaction ended.
+// finished reports whether all answers were read and the transaction has ended.
 func (l *Lease) finished() bool {
 	return !l.failed.Load() && l.pending == 0 && l.status == txIdle && !l.conn.tainted.Load()
 }
 
-// Break ends the connection under the feet of its owner, whose next read or write
-// fails. It may come from another goroutine, but not after Release has begun.
+// Break closes the connection while its owner uses it; the owner's next read or write fails. It may
+// be called from another goroutine, but not after Release has begun.
 func (l *Lease) Break() {
 	l.failed.Store(true)
-	l.conn.shut()
+	l.conn.closeSocket()
 }
 
-// Discard closes the connection. A late answer to what was sent on it dies
-// with it. A second call does nothing.
+// Discard closes the connection, so that a late answer to what was sent on it cannot reach another
+// owner. A second call does nothing.
 func (l *Lease) Discard() {
 	if l.conn.owner.CompareAndSwap(l.token, 0) {
 		l.pool.drop(l.conn)
 	}
 }
 
-// Abandon closes the connection and asks the target to stop what still runs on
-// it, so that a request nobody waits for does not keep a slot there.
+// Abandon requests that the target stop the statement that still runs on the connection, and then
+// closes it, so that a request that no caller waits for does not occupy a slot there. It does not
+// block.
 func (l *Lease) Abandon(timeout time.Duration) {
 	if !l.conn.owner.CompareAndSwap(l.token, 0) {
 		return
--- a/pool/metrics.go
+++ b/pool/metrics.go
@@ -8,7 +8,7 @@
 
 // Metrics counts connections by server. A nil *Metrics counts nothing.
 //
-//	endivemoor_pool_connections{server}       gauge, connections open
+//	endivemoor_pool_connections{server}       gauge, open connections
 //	endivemoor_pool_opened_total{server}      counter
 //	endivemoor_pool_open_failed_total{server} counter
 type Metrics struct {
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -20,27 +20,27 @@
 // Dialer opens one connection to a target, logged in and idle.
 type Dialer func(ctx context.Context, srv *view.Server) (*pgconn.HijackedConn, error)
 
-// Config sets a Pool. Dial, Backoff, Clock and Log are required.
+// Config configures a Pool. Dial, Backoff, Clock and Log are required.
 type Config struct {
 	Dial Dialer
-	// Limit is the number of connections that each server allows the fleet.
+	// Limit is the number of connections that each server permits to the whole fleet.
 	Limit int
-	// Control is how many of them this proxy keeps for control.
+	// Control is the number of these connections that this proxy reserves for control.
 	Control int
-	// MaxOpening bounds the connections being opened to one server at once.
+	// MaxOpening limits the connections that are opened to one server concurrently.
 	MaxOpening int
-	// DialTimeout bounds one attempt, and a reset.
+	// DialTimeout limits one attempt to open a connection, and one reset.
 	DialTimeout time.Duration
-	// IdleTimeout is the age at which an idle connection is closed.
+	// IdleTimeout is the idle time after which a connection is closed.
 	IdleTimeout time.Duration
 	Backoff     Delayer
-	// Seed starts the jitter.
+	// Seed seeds the jitter.
 	Seed  uint64
 	Clock clock.Clock
 	Log   *zap.Logger
 	// Metrics may be nil.
 	Metrics *Metrics
-	// Guards is set by tests only.
+	// Guards is set only by tests.
 	Guards guard.Set
 }
 
@@ -89,17 +89,16 @@
 	}
 }
 
-// Acquire returns a lease on a connection to srv, waiting at most wait and until
-// ctx ends. When the server cannot be reached the error is an
-// *UnavailableError, at once.
+// Acquire returns a lease on a connection to srv. It waits at most wait and until ctx ends. If the
+// server cannot be reached, it returns an *UnavailableError without waiting.
 func (p *Pool) Acquire(ctx context.Context, srv *view.Server, fleet int, wait time.Duration) (*Lease, error) {
 	until := time.Now().Add(wait)
 	for {
-		c, err := p.take(ctx, srv, fleet, until)
+		c, err := p.takeConn(ctx, srv, fleet, until)
 		if err != nil {
 			return nil, err
 		}
-		if l := p.handOver(c, until); l != nil {
+		if l := p.newLease(c, until); l != nil {
 			return l, nil
 		}
 		if time.Now().After(until) {
@@ -108,10 +107,10 @@
 	}
 }
 
-// take returns a connection that nobody owns.
-func (p *Pool) take(ctx context.Context, srv *view.Server, fleet int, until time.Time) (*conn, error) {
+// takeConn returns a connection that has no owner.
+func (p *Pool) takeConn(ctx context.Context, srv *view.Server, fleet int, until time.Time) (*conn, error) {
 	p.mu.Lock()
-	c, w, err := p.ask(srv, fleet)
+	c, w, err := p.takeIdleOrEnqueue(srv, fleet)
 	p.mu.Unlock()
 	if c != nil || err != nil {
 		return c, err
@@ -122,24 +121,24 @@
 	case g := <-w.ready:
 		return g.conn, g.err
 	case <-ctx.Done():
-		return nil, p.withdraw(srv.ID, w, ctx.Err())
+		return nil, p.cancelWait(srv.ID, w, ctx.Err())
 	}
 }
 
-// handOver makes the connection the caller's own, once its reset is proven. It
-// returns nil if the connection turned out to be of no use.
+// newLease leases the connection to the caller after its reset is confirmed. It returns nil if the
+// connection is unusable.
 //
-// Failure guarded against: a setting, a temporary table or an unread answer of
-// one caller reaches the next. Nothing is sent for the new owner before the
-// target has confirmed that it dropped the old one's state.
-func (p *Pool) handOver(c *conn, until time.Time) *Lease {
-	if c.unproven {
-		if err := c.prove(p.proofLimit(until)); err != nil {
+// Failure guarded against: a setting, a temporary table or an unread answer of one caller reaches
+// the next. Nothing is sent for the new owner before the target has confirmed that it dropped the
+// previous owner's state.
+func (p *Pool) newLease(c *conn, until time.Time) *Lease {
+	if c.resetPending {
+		if err := c.confirmReset(p.resetDeadline(until)); err != nil {
 			p.cfg.Log.Warn("connection_reset_failed", zap.String("server", string(c.server.id)), zap.Error(err))
 			p.drop(c)
 			return nil
 		}
-		c.unproven = false
+		c.resetPending = false
 	}
 	if !c.alive() && !p.cfg.Guards.Out(GuardAlive) {
 		p.drop(c)
@@ -150,8 +149,8 @@
 	return l
 }
 
-// proofLimit bounds the wait for the answer to a reset.
-func (p *Pool) proofLimit(until time.Time) time.Time {
+// resetDeadline limits the wait for the reply to a reset.
+func (p *Pool) resetDeadline(until time.Time) time.Time {
 	limit := time.Now().Add(p.cfg.DialTimeout)
 	if until.Before(limit) {
 		return until
@@ -159,9 +158,9 @@
 	return limit
 }
 
-// ask takes an idle connection, or joins the queue and sees that somebody
-// opens one. It is called with mu held.
-func (p *Pool) ask(srv *view.Server, fleet int) (*conn, *waiter, error) {
+// takeIdleOrEnqueue takes an idle connection, or joins the queue and starts the opening of a
+// connection if the quota permits it. It is called with mu held.
+func (p *Pool) takeIdleOrEnqueue(srv *view.Server, fleet int) (*conn, *waiter, error) {
 	if p.closed {
 		return nil, nil, ErrClosed
 	}
@@ -171,8 +170,8 @@
 		return c, nil, nil
 	}
 	now := p.cfg.Clock.Now()
-	if rest := s.quota.resting(now); rest > 0 && s.quota.hopeless() {
-		return nil, nil, &UnavailableError{Server: s.id, RetryAfter: rest, cause: s.lastErr}
+	if left := s.quota.backoffLeft(now); left > 0 && s.quota.noneOpen() {
+		return nil, nil, &UnavailableError{Server: s.id, RetryAfter: left, cause: s.lastErr}
 	}
 	w := &waiter{ready: make(chan grant, 1)}
 	s.waiters = append(s.waiters, w)
@@ -180,8 +179,7 @@
 	return nil, w, nil
 }
 
-// serverOf returns the list for srv. A server that came back under another
-// address gets a new list.
+// serverOf returns the connection list of srv. A server whose address has changed gets a new list.
 func (p *Pool) serverOf(srv *view.Server) *server {
 	s := p.servers[srv.ID]
 	if s != nil && s.addr == srv.Addr {
@@ -195,13 +193,13 @@
 	return s
 }
 
-// withdraw leaves the queue. A connection that was granted meanwhile goes to
-// the next in line.
-func (p *Pool) withdraw(id target.ID, w *waiter, cause error) error {
+// cancelWait removes w from the queue. A connection that was granted to w in the meantime goes to
+// the next waiter.
+func (p *Pool) cancelWait(id target.ID, w *waiter, cause error) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.servers[id]
-	if s != nil && s.leave(w) {
+	if s != nil && s.removeWaiter(w) {
 		return cause
 	}
 	select {
@@ -214,39 +212,39 @@
 	return cause
 }
 
-// offer hands a connection to the next waiter or puts it aside. It is
-// called with mu held.
+// offer grants a connection to the next waiter or adds it to the idle list. It is called with mu
+// held.
 func (p *Pool) offer(c *conn) {
 	s := c.server
 	if p.closed || s.retired || s.overShare() {
-		p.forget(c)
+		p.remove(c)
 		return
 	}
 	if w := s.popWaiter(); w != nil {
 		w.ready <- grant{conn: c}
 		return
 	}
-	c.since = p.cfg.Clock.Now()
+	c.idleSince = p.cfg.Clock.Now()
 	s.idle = append(s.idle, c)
 }
 
-func (p *Pool) giveBack(c *conn) {
+func (p *Pool) returnConn(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.offer(c)
 }
 
-// drop closes a connection and lets a waiter's be opened in its place.
+// drop closes a connection and opens another one in its place if a waiter needs it.
 func (p *Pool) drop(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forget(c)
+	p.remove(c)
 	p.openFor(c.server)
 }
 
-// forget closes c and takes it off its server's books, once.
-func (p *Pool) forget(c *conn) {
-	c.shut()
+// remove closes c and removes it from its server's list and counts. Further calls do nothing.
+func (p *Pool) remove(c *conn) {
+	c.closeSocket()
 	if _, ok := c.server.all[c]; !ok {
 		return
 	}
@@ -255,7 +253,7 @@
 	p.cfg.Metrics.closed(c.server.id)
 }
 
-// openFor starts as many attempts as there are waiters without one. It is
+// openFor starts an attempt for each waiter that has none, as far as the quota permits. It is
 // called with mu held.
 func (p *Pool) openFor(s *server) {
 	now := p.cfg.Clock.Now()
@@ -284,17 +282,17 @@
 	p.openFor(s)
 }
 
-// openFailed rests the server. Waiters who could only wait for an opening are
-// answered at once, so that they may go elsewhere while they are queued; the
-// others wait on for a connection that is in use.
+// openFailed starts the server's backoff. If the server has no connection and none is being opened,
+// all waiters are refused immediately, so that their requests can be routed elsewhere while they
+// are still queued. Otherwise they keep waiting for a connection that is in use.
 func (p *Pool) openFailed(s *server, err error) {
 	s.quota.failed(p.cfg.Clock.Now(), p.cfg.Backoff, p.rnd)
 	s.lastErr = errors.Wrap(err, "open")
 	p.cfg.Metrics.failed(s.id)
 	p.cfg.Log.Warn("connection_open_failed", zap.String("server", string(s.id)),
 		zap.Int("failures", s.quota.failures), zap.Error(err))
-	if s.quota.hopeless() {
-		rest := s.quota.resting(p.cfg.Clock.Now())
-		s.refuseAll(&UnavailableError{Server: s.id, RetryAfter: rest, cause: s.lastErr})
+	if s.quota.noneOpen() {
+		left := s.quota.backoffLeft(p.cfg.Clock.Now())
+		s.refuseAll(&UnavailableError{Server: s.id, RetryAfter: left, cause: s.lastErr})
 	}
 }
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -23,20 +23,20 @@
 
 func (d fixedDelay) Delay(int, *rand.Rand) time.Duration { return time.Duration(d) }
 
-type handClock struct{ now atomic.Int64 }
+type manualClock struct{ now atomic.Int64 }
 
-func (c *handClock) Now() clock.Time { return clock.Time(c.now.Load()) }
+func (c *manualClock) Now() clock.Time { return clock.Time(c.now.Load()) }
 
-// fakeTarget speaks just enough of the protocol to see who sends what on which
-// connection.
+// fakeTarget implements as much of the protocol as is needed to record which statements arrive on
+// which connection.
 type fakeTarget struct {
 	ln net.Listener
-	// refuse turns logins away.
-	refuse atomic.Bool
-	// dirty makes resets fail.
-	dirty atomic.Bool
-	// leave closes a connection after it answered a reset.
-	leave atomic.Bool
+	// refuseLogins makes every login fail.
+	refuseLogins atomic.Bool
+	// failResets makes resets fail.
+	failResets atomic.Bool
+	// closeAfterReset closes a connection after the reply to a reset.
+	closeAfterReset atomic.Bool
 
 	mu     sync.Mutex
 	logins int
@@ -74,7 +74,7 @@
 		f.cancel <- struct{}{}
 		return
 	}
-	if f.refuse.Load() {
+	if f.refuseLogins.Load() {
 		b.Send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: "57P03"})
 		_ = b.Flush()
 		return
@@ -95,7 +95,7 @@
 		if ok {
 			f.answer(b, n, q.String)
 		}
-		if ok && q.String == resetStatement && f.leave.Load() {
+		if ok && q.String == resetStatement && f.closeAfterReset.Load() {
 			_ = b.Flush()
 			return
 		}
@@ -110,7 +110,7 @@
 	switch {
 	case sql == "BEGIN":
 		status = 'T'
-	case sql == resetStatement && f.dirty.Load():
+	case sql == resetStatement && f.failResets.Load():
 		b.Send(&pgproto3.ErrorResponse{Severity: "ERROR", Code: "XX000"})
 		b.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
 		return
@@ -155,13 +155,13 @@
 	return l
 }
 
-func idle(t *testing.T, p *Pool) {
+func awaitIdle(t *testing.T, p *Pool) {
 	require.Eventually(t, func() bool { return p.Stats("a").Idle == 1 }, 10*time.Second, time.Millisecond)
 }
 
 func TestReuseIsResetFirst(t *testing.T) {
 	f := startFake(t)
-	p := newPool(t, 1, &handClock{})
+	p := newPool(t, 1, &manualClock{})
 	l := acquire(t, p, f)
 	exchange(t, l, "one")
 	l.Release()
@@ -171,12 +171,12 @@
 	require.Equal(t, []string{"one", resetStatement, "two"}, f.log[1])
 }
 
-// A caller keeps using its connection after its transaction ended, for example
-// because an answer came late. Meanwhile the connection belongs to somebody
-// else. Nothing of the first caller may be sent on it or read from it.
+// Failure guarded against: a caller keeps using its connection after its transaction has ended, for
+// example because an answer was late, while another caller already owns the connection. Nothing of
+// the first caller may be sent on it or read from it.
 func TestFormerOwnerCannotTouchTheConnection(t *testing.T) {
 	f := startFake(t)
-	p := newPool(t, 1, &handClock{})
+	p := newPool(t, 1, &manualClock{})
 	l := acquire(t, p, f)
 	exchange(t, l, "one")
 	l.Release()
@@ -190,11 +190,12 @@
 	exchange(t, l2, "two")
 }
 
-// Without the owner's token the same stray statement reaches the target on the
-// other caller's connection, and the target's record shows it.
-func TestJudgeNoticesTheOwnerGuardTakenOut(t *testing.T) {
+// With the owner guard disabled, the same stray statement reaches the target on the other caller's
+// connection, and the fake target's log shows it. This proves that the test above detects the
+// failure.
+func TestStrayStatementReachesTheTargetWithoutOwnerGuard(t *testing.T) {
 	f := startFake(t)
-	p := newPool(t, 1, &handClock{})
+	p := newPool(t, 1, &manualClock{})
 	p.cfg.Guards = guard.Without(GuardOwner)
 	l := acquire(t, p, f)
 	exchange(t, l, "one")
@@ -209,19 +210,19 @@
 	}, 10*time.Second, time.Millisecond)
 }
 
-// A request is given up on while its answer is on the way. If its connection
-// were reused, the next caller would read the answer of the one before.
+// Failure guarded against: a caller gives up a request while its answer is in transit. If the
+// connection were reused, the next caller would read the previous caller's answer.
 func TestUnfinishedConnectionIsClosed(t *testing.T) {
-	for name, leave := range map[string]func(*Lease){
+	for name, abandon := range map[string]func(*Lease){
 		"answer pending":   func(l *Lease) { _ = l.Send(&pgproto3.Query{String: "slow"}); _ = l.Flush() },
 		"open transaction": func(l *Lease) { exchange(t, l, "BEGIN") },
 		"canceled":         func(l *Lease) { exchange(t, l, "x"); _ = l.Cancel(context.Background()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := startFake(t)
-			p := newPool(t, 1, &handClock{})
+			p := newPool(t, 1, &manualClock{})
 			l := acquire(t, p, f)
-			leave(l)
+			abandon(l)
 			l.Release()
 			exchange(t, acquire(t, p, f), "next")
 			require.Equal(t, 2, f.count())
@@ -230,12 +231,12 @@
 	}
 }
 
-// A server cannot drop a caller's settings. The next caller would run under
-// them, so the connection is closed instead.
+// Failure guarded against: a server cannot drop a caller's settings, and the next caller runs under
+// them. The connection must be closed instead.
 func TestFailedResetClosesTheConnection(t *testing.T) {
 	f := startFake(t)
-	f.dirty.Store(true)
-	p := newPool(t, 1, &handClock{})
+	f.failResets.Store(true)
+	p := newPool(t, 1, &manualClock{})
 	l := acquire(t, p, f)
 	exchange(t, l, "one")
 	l.Release()
@@ -243,42 +244,42 @@
 	require.Equal(t, 2, f.count())
 }
 
-// A primary is gone. Whoever asks for a connection must hear so at once, while
-// the request is still queued, and the server is left alone until its rest is
-// over: thousands of callers make one attempt and no storm.
-func TestUnreachableServerIsLeftAlone(t *testing.T) {
+// Failure guarded against: a primary is unreachable and thousands of callers try to connect to it.
+// Each caller must receive the error immediately, while its request is still queued, and the pool
+// must make one attempt and no other until the server's backoff ends.
+func TestUnreachableServerIsNotRetriedDuringBackoff(t *testing.T) {
 	f := startFake(t)
-	f.refuse.Store(true)
-	clk := &handClock{}
+	f.refuseLogins.Store(true)
+	clk := &manualClock{}
 	p := newPool(t, 4, clk)
-	var gone *UnavailableError
+	var unavailable *UnavailableError
 	for range 20 {
 		_, err := p.Acquire(context.Background(), f.server(), 1, time.Minute)
-		require.ErrorAs(t, err, &gone)
+		require.ErrorAs(t, err, &unavailable)
 	}
-	require.Equal(t, time.Minute, gone.RetryAfter)
+	require.Equal(t, time.Minute, unavailable.RetryAfter)
 	require.Equal(t, 1, p.servers["a"].quota.failures)
-	f.refuse.Store(false)
+	f.refuseLogins.Store(false)
 	clk.now.Store(int64(time.Minute))
 	exchange(t, acquire(t, p, f), "back")
 }
 
-// A primary dies while a connection to it is idle. A write sent on it would be
-// lost and called "unknown", although nothing ran. With the guard it gets a new
-// connection; without it, the judge sees the write fail after it was sent.
-func TestDeadIdleConnectionIsNotHandedOut(t *testing.T) {
+// Failure guarded against: a primary dies while a connection to it is idle. A write sent on that
+// connection would be lost and reported as "unknown", although nothing ran. With the guard the
+// write gets a new connection; without it, the write fails after it was sent.
+func TestDeadIdleConnectionIsNotLeased(t *testing.T) {
 	for _, guards := range []guard.Set{nil, guard.Without(GuardAlive)} {
 		f := startFake(t)
-		f.leave.Store(true)
-		p := newPool(t, 1, &handClock{})
+		f.closeAfterReset.Store(true)
+		p := newPool(t, 1, &manualClock{})
 		p.cfg.Guards = guards
 		l := acquire(t, p, f)
 		exchange(t, l, "one")
 		l.Release()
-		idle(t, p)
+		awaitIdle(t, p)
 		c := p.servers["a"].idle[0]
-		require.NoError(t, c.prove(time.Now().Add(time.Minute)))
-		c.unproven = false
+		require.NoError(t, c.confirmReset(time.Now().Add(time.Minute)))
+		c.resetPending = false
 		require.Eventually(t, func() bool { return !c.alive() }, time.Minute, time.Millisecond)
 		l = acquire(t, p, f)
 		require.NoError(t, l.Send(&pgproto3.Query{String: "two"}))
@@ -290,7 +291,7 @@
 
 func TestWaitersAreServedInOrder(t *testing.T) {
 	f := startFake(t)
-	p := newPool(t, 1, &handClock{})
+	p := newPool(t, 1, &manualClock{})
 	l := acquire(t, p, f)
 	exchange(t, l, "first")
 	got := make(chan int, 3)
@@ -311,26 +312,26 @@
 	require.Equal(t, 1, f.count())
 }
 
-func TestWithdrawnWaiterLosesNothing(t *testing.T) {
+func TestCanceledWaiterLosesNoConnection(t *testing.T) {
 	f := startFake(t)
-	p := newPool(t, 1, &handClock{})
+	p := newPool(t, 1, &manualClock{})
 	l := acquire(t, p, f)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, err := p.Acquire(ctx, f.server(), 1, time.Minute)
 	require.ErrorIs(t, err, context.Canceled)
 	l.Release()
-	idle(t, p)
+	awaitIdle(t, p)
 	require.Zero(t, p.Stats("a").Waiting)
 }
 
 func TestSweepClosesDrainingAndOld(t *testing.T) {
 	f := startFake(t)
-	clk := &handClock{}
+	clk := &manualClock{}
 	p := newPool(t, 1, clk)
 	v := &view.View{Groups: map[string]*view.Group{"g": {Servers: []view.Server{*f.server()}}}}
 	acquire(t, p, f).Release()
-	idle(t, p)
+	awaitIdle(t, p)
 	p.Sweep(v)
 	require.Equal(t, 1, p.Stats("a").Idle)
 	clk.now.Store(int64(2 * DefaultIdleTimeout))
--- a/pool/quota.go
+++ b/pool/quota.go
@@ -7,28 +7,28 @@
 	"endivemoor.example/endivemoor/clock"
 )
 
-// Delayer gives the wait after the n-th failure in a row, n counted from 1.
+// Delayer returns the delay after the n-th consecutive failure, with n counted from 1.
 type Delayer interface {
 	Delay(n int, rnd *rand.Rand) time.Duration
 }
 
-// Share returns how many connections to one server this proxy may hold: its
-// part of the server's limit, less those it keeps for control. It is at least
-// 1, so that a proxy that believes in a larger fleet than there is still
-// serves; the server's own limit then refuses, and the pool backs off.
+// Share returns the number of connections to one server that this proxy may open: its share of the
+// server's limit, less those that it reserves for control. The result is at least 1, so that a
+// proxy that assumes a larger fleet than there is still serves requests; the server's own limit may
+// then refuse a connection, and the pool backs off.
 func Share(limit, fleet, control int) int {
 	return max(1, limit/max(1, fleet)-control)
 }
 
-// quota decides if one more connection to a server may be opened. It is pure.
+// quota decides whether another connection to a server may be opened. It is pure.
 type quota struct {
-	// open counts connections in use, idle or in reset.
+	// open counts connections that are in use, idle or in reset.
 	open int
-	// opening counts attempts under way.
+	// opening counts the attempts in progress.
 	opening int
-	// failures counts failed attempts since the last success.
+	// failures counts the failed attempts since the last success.
 	failures int
-	// notBefore is when the next attempt may be made.
+	// notBefore is the earliest time of the next attempt.
 	notBefore clock.Time
 }
 
@@ -39,8 +39,8 @@
 		q.open+q.opening < share
 }
 
-// resting returns how long the server is left alone, zero if it is not.
-func (q *quota) resting(now clock.Time) time.Duration {
+// backoffLeft returns the rest of the server's backoff, zero if it has none.
+func (q *quota) backoffLeft(now clock.Time) time.Duration {
 	return max(0, q.notBefore.Sub(now))
 }
 
@@ -60,5 +60,6 @@
 
 func (q *quota) closed() { q.open-- }
 
-// hopeless reports whether a waiter has nothing to wait for.
-func (q *quota) hopeless() bool { return q.open+q.opening == 0 }
+// noneOpen reports whether no connection is open or being opened, so that there is none to wait
+// for.
+func (q *quota) noneOpen() bool { return q.open+q.opening == 0 }
--- a/pool/server.go
+++ b/pool/server.go
@@ -5,16 +5,16 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// grant is what a waiter receives: a connection, or the reason for none.
+// grant is the result for a waiter: a connection, or the reason why there is none.
 type grant struct {
 	conn *conn
 	err  error
 }
 
-// waiter stands in a server's queue. Its channel holds one grant.
+// waiter is an entry in a server's queue. Its channel is buffered for one grant.
 type waiter struct{ ready chan grant }
 
-// server is the list of one target's connections, guarded by Pool.mu.
+// server holds the connections to one target. Pool.mu guards it.
 type server struct {
 	id      target.ID
 	addr    string
@@ -23,7 +23,7 @@
 	idle    []*conn
 	all     map[*conn]struct{}
 	waiters []*waiter
-	// retired servers take no connection back.
+	// retired is set once the server accepts no more connections back; they are closed instead.
 	retired bool
 	lastErr error
 }
@@ -32,8 +32,8 @@
 	return &server{id: s.ID, addr: s.Addr, all: map[*conn]struct{}{}}
 }
 
-// popIdle returns the connection that was used last, or nil. Those at the
-// other end grow old and are closed.
+// popIdle returns the most recently used idle connection, or nil. The least recently used ones
+// reach IdleTimeout and are closed.
 func (s *server) popIdle() *conn {
 	n := len(s.idle)
 	if n == 0 {
@@ -44,7 +44,7 @@
 	return c
 }
 
-// popWaiter returns the one who waits longest, or nil.
+// popWaiter returns the waiter that has waited longest, or nil.
 func (s *server) popWaiter() *waiter {
 	if len(s.waiters) == 0 {
 		return nil
@@ -54,8 +54,8 @@
 	return w
 }
 
-// leave removes w and reports whether it was still waiting.
-func (s *server) leave(w *waiter) bool {
+// removeWaiter removes w and reports whether it was still in the queue.
+func (s *server) removeWaiter(w *waiter) bool {
 	for i, x := range s.waiters {
 		if x == w {
 			s.waiters = append(s.waiters[:i], s.waiters[i+1:]...)
@@ -65,12 +65,13 @@
 	return false
 }
 
-// refuseAll tells every waiter that there is nothing to wait for.
+// refuseAll sends err to every waiter.
 func (s *server) refuseAll(err error) {
 	for w := s.popWaiter(); w != nil; w = s.popWaiter() {
 		w.ready <- grant{err: err}
 	}
 }
 
-// overShare reports whether the share shrank below what is open.
+// overShare reports whether more connections are open than the share permits, as after the share
+// was reduced.
 func (s *server) overShare() bool { return s.quota.open > s.share }
--- a/pool/sweep.go
+++ b/pool/sweep.go
@@ -6,10 +6,9 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// Sweep closes what is no longer wanted: idle connections that are old, those
-// of servers that drain or left the view, and those above the share. It also
-// starts openings that a rest had put off. The daemon calls it about once a
-// second.
+// Sweep closes the connections that are no longer needed: idle connections past IdleTimeout, those
+// of servers that drain or have left the view, and those above the share. It also starts the
+// openings that a backoff had delayed. The daemon calls it about once a second.
 func (p *Pool) Sweep(v *view.View) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -36,33 +35,34 @@
 	return m
 }
 
-// sweepIdle goes through the list from its oldest end.
+// sweepIdle closes the connections of the idle list that are no longer needed, beginning with the
+// least recently used one.
 func (p *Pool) sweepIdle(s *server, now clock.Time, draining bool) {
-	kept := s.idle[:0]
+	retained := s.idle[:0]
 	for _, c := range s.idle {
-		old := now.Sub(c.since) >= p.cfg.IdleTimeout
-		if old || draining || s.overShare() {
-			p.forget(c)
+		timedOut := now.Sub(c.idleSince) >= p.cfg.IdleTimeout
+		if timedOut || draining || s.overShare() {
+			p.remove(c)
 			continue
 		}
-		kept = append(kept, c)
+		retained = append(retained, c)
 	}
-	s.idle = kept
+	s.idle = retained
 }
 
-// retire closes the idle connections; those in use are closed when they come
-// back.
+// retire closes the idle connections and refuses all waiters. Connections in use are closed when
+// they are released.
 func (p *Pool) retire(s *server) {
 	s.retired = true
 	for _, c := range s.idle {
-		p.forget(c)
+		p.remove(c)
 	}
 	s.idle = nil
 	s.refuseAll(&UnavailableError{Server: s.id, cause: ErrClosed})
 }
 
-// Close closes all idle connections and refuses new work. Connections in use
-// are closed when they come back.
+// Close closes all idle connections and refuses further requests. Connections in use are closed
+// when they are released.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// Stats counts one server's connections.
+// Stats holds the counts of one server's connections and waiters.
 type Stats struct{ Open, Idle, Opening, Waiting int }
 
 // Stats returns the counts for one server.
