--- a/session/errors.go
+++ b/session/errors.go
@@ -1,18 +1,18 @@
 package session
 
-// Fault says why a token was refused.
+// Fault is the reason why a token was refused.
 type Fault uint8
 
 const (
-	// FaultMalformed means that it is no token of ours, or too large.
+	// FaultMalformed means that the text is not a token of this format, or is too large.
 	FaultMalformed Fault = iota
 	// FaultForged means that its signature does not match its key.
 	FaultForged
-	// FaultUnknownKey means that its key was never added or is removed.
+	// FaultUnknownKey means that the token's key was never added or has been removed.
 	FaultUnknownKey
-	// FaultExpired means that it is past its life.
+	// FaultExpired means that the token's lifetime has ended.
 	FaultExpired
-	// FaultOtherUser means that it was issued to another user.
+	// FaultOtherUser means that the token was issued to another user.
 	FaultOtherUser
 )
 
@@ -35,32 +35,32 @@
 // TokenError is the refusal of a token.
 type TokenError struct {
 	Fault Fault
-	// KeyID is the key named by the token; empty if it names none.
+	// KeyID is the key that the token names; empty if it names none.
 	KeyID string
 	cause error
 }
 
-// Error names the fault, but nothing of the token's content.
+// Error returns the fault, but none of the token's content.
 func (e *TokenError) Error() string { return "session token refused: " + e.Fault.String() }
 
 // Unwrap returns the parser's error, if any.
 func (e *TokenError) Unwrap() error { return e.cause }
 
-// KeyError says that a set of signing keys cannot be used.
+// KeyError means that a set of signing keys cannot be used.
 type KeyError struct {
 	KeyID  string
 	Reason string
 }
 
-// Error names the key and the reason.
+// Error returns the key and the reason.
 func (e *KeyError) Error() string { return "signing key " + e.KeyID + ": " + e.Reason }
 
-// SizeError says that a session's marks do not fit into a token. Dropping some
-// would break read-your-writes silently, so Issue refuses instead.
+// SizeError means that a session's watermarks do not fit into a token. Dropping some would silently
+// break read-your-writes, so Issue refuses instead.
 type SizeError struct {
 	Groups int
 	Bytes  int
 }
 
-// Error states the limit that was passed.
-func (e *SizeError) Error() string { return "session marks do not fit into a token" }
+// Error returns a fixed text; Groups and Bytes state what exceeded the limit.
+func (e *SizeError) Error() string { return "session watermarks do not fit into a token" }
--- a/session/keys.go
+++ b/session/keys.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// MinKeyBytes is the least length of a signing secret: the output size of
-	// the hash, as RFC 2104 advises.
+	// MinKeyBytes is the minimum length of a signing secret: the output size of the hash, as RFC
+	// 2104 recommends.
 	MinKeyBytes = 32
-	// MaxTokenBytes bounds a token; a startup message holds 10,000 bytes.
+	// MaxTokenBytes is the maximum size of a token. A startup message is limited to 10,000 bytes.
 	MaxTokenBytes = 4096
-	// MaxGroups bounds the marks in one token.
+	// MaxGroups is the maximum number of groups in one token.
 	MaxGroups = 32
-	// TokenLife is how long a token is accepted. An expired one costs its
-	// caller a question to the primary, never a stale read.
+	// TokenLifetime is the time for which a token is accepted. An expired token costs its caller a
+	// query to the primary, never a stale read.
 	TokenLife = 7 * 24 * time.Hour
 )
 
-// keyRing is one immutable set of keys.
+// keyRing is an immutable set of keys.
 type keyRing struct {
 	active  string
 	secrets map[string][]byte
 }
 
-// Keys signs and verifies tokens. It is safe for concurrent use: the set of
-// keys is swapped as a whole.
+// Keys signs and verifies tokens. It is safe for concurrent use: the whole set of keys is replaced
+// atomically.
 type Keys struct {
 	ring atomic.Pointer[keyRing]
 }
 
-// NewKeys returns Keys that sign with the active one of the given secrets, by
-// key id, and verify with all of them. The error is a *KeyError.
+// NewKeys returns Keys that sign with the active one of the given secrets, by key id, and verify
+// with all of them. The error is a *KeyError.
 func NewKeys(active string, keys map[string][]byte) (*Keys, error) {
 	k := &Keys{}
 	if err := k.Replace(active, keys); err != nil {
@@ -44,7 +44,7 @@
 	return k, nil
 }
 
-// Replace swaps in a new set of keys. On error the present set stays.
+// Replace installs a new set of keys. On error the present set remains in use.
 func (k *Keys) Replace(active string, keys map[string][]byte) error {
 	if _, ok := keys[active]; !ok {
 		return &KeyError{KeyID: active, Reason: "the active key is not in the set"}
@@ -64,10 +64,10 @@
 // claims is the content of a token.
 type claims struct {
 	jwt.RegisteredClaims
-	Marks Marks `json:"marks"`
+	Watermarks Marks `json:"marks"`
 }
 
-// Issue signs m for user. The error is a *SizeError if m is too large.
+// Issue returns a token that holds m, signed for user. The error is a *SizeError if m is too large.
 func (k *Keys) Issue(user string, m Marks, now time.Time) (string, error) {
 	if len(m) > MaxGroups {
 		return "", &SizeError{Groups: len(m)}
@@ -78,7 +78,7 @@
 			Subject:   user,
 			ExpiresAt: jwt.NewNumericDate(now.Add(TokenLife)),
 		},
-		Marks: m,
+		Watermarks: m,
 	})
 	token.Header["kid"] = ring.active
 	signed, err := token.SignedString(ring.secrets[ring.active])
@@ -91,11 +91,11 @@
 	return signed, nil
 }
 
-// Verify returns the marks of a token that was issued to user and has not
-// expired. The error is a *TokenError.
+// Verify returns the watermarks of a token that was issued to user and has not expired. The error
+// is a *TokenError.
 //
-// The algorithm is fixed: a token that names another one, such as "none", is
-// how the classic forgery of this format looks, and is refused as malformed.
+// The algorithm is fixed. The usual forgery of this format is a token that names another algorithm,
+// such as "none"; it is refused.
 func (k *Keys) Verify(token, user string, now time.Time) (Marks, error) {
 	if len(token) > MaxTokenBytes {
 		return nil, &TokenError{Fault: FaultMalformed}
@@ -115,18 +115,18 @@
 	if content.Subject != user {
 		return nil, &TokenError{Fault: FaultOtherUser, KeyID: keyID(parsed)}
 	}
-	if len(content.Marks) > MaxGroups {
+	if len(content.Watermarks) > MaxGroups {
 		return nil, &TokenError{Fault: FaultMalformed, KeyID: keyID(parsed)}
 	}
-	if content.Marks == nil {
+	if content.Watermarks == nil {
 		return Marks{}, nil
 	}
-	return content.Marks, nil
+	return content.Watermarks, nil
 }
 
 var errUnknownKey = errors.New("unknown key")
 
-// secretOf finds the secret that a token was signed with.
+// secretOf returns the secret of the key that the token names.
 func (r *keyRing) secretOf(t *jwt.Token) (any, error) {
 	secret, ok := r.secrets[keyID(t)]
 	if !ok {
@@ -143,9 +143,8 @@
 	return id
 }
 
-// refusal maps the library's errors to a Fault. The order matters: the library
-// verifies the signature before the claims, so "expired" is said only of a
-// token that we signed.
+// refusal maps the library's errors to a Fault. The order matters: the library verifies the
+// signature before the claims, so FaultExpired is returned only for a token that this fleet signed.
 func refusal(t *jwt.Token, err error) *TokenError {
 	e := &TokenError{Fault: FaultMalformed, KeyID: keyID(t), cause: err}
 	switch {
--- a/session/marks.go
+++ b/session/marks.go
@@ -5,40 +5,40 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// Marks is a session's watermark: for each group, the newest position that the
-// session has written or was promised to see.
+// Watermarks are a session's watermarks: for each group, the newest position that the session has
+// written or that it is guaranteed to read.
 type Marks map[string]timeline.Position
 
-// Raise moves the group's mark up to pos. A lower position changes nothing, so
-// answers that arrive out of order cannot lower a session's floor.
+// Raise raises the group's watermark to pos. A lower position changes nothing, so answers that
+// arrive out of order cannot lower a session's floor.
 func (m Marks) Raise(group string, pos timeline.Position) {
 	if m[group].Less(pos) {
 		m[group] = pos
 	}
 }
 
-// Merge raises every mark of m to that of other.
+// Merge raises every watermark of m to that of other.
 func (m Marks) Merge(other Marks) {
 	for group, pos := range other {
 		m.Raise(group, pos)
 	}
 }
 
-// Source says where a floor comes from.
+// Source is the origin of a floor.
 type Source uint8
 
 const (
-	// SourcePrimary means that the session brought no mark for the group: the
-	// primary must be asked for its position, and a replica must witness that
-	// it was not superseded, before the session's first read.
+	// SourcePrimary means that the session has no watermark for the group: before the session's
+	// first read, the primary must be queried for its position, and a replica must witness that the
+	// primary was not superseded.
 	SourcePrimary Source = iota
-	// SourceToken means that the session's own mark is the floor.
+	// SourceToken means that the session's own watermark is the floor.
 	SourceToken
-	// SourceCut means that a promotion discarded the end of what the session
-	// had seen: the floor is the part that was kept.
+	// SourceCut means that a promotion discarded the newest positions of the session: the floor is
+	// the newest position that was retained.
 	SourceCut
-	// SourceAhead means that the mark is of a term that the view does not know
-	// yet: only a server of that term may serve the session.
+	// SourceAhead means that the watermark has a term that the view does not contain yet: only a
+	// server of that term may serve the session.
 	SourceAhead
 )
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// Floor is the least position that a server must hold to serve a session.
+// Floor is the minimum position that a server must have reached to serve a session.
 type Floor struct {
 	Position timeline.Position
 	Source   Source
@@ -64,20 +64,20 @@
 
 // FloorOf returns the session's floor in group g.
 //
-// A mark beyond the start of a later term names entries that no server keeps.
-// Waiting for them would never end, so the floor is cut back to the kept part,
-// and SourceCut lets the proxy tell the caller that its write was discarded.
+// A watermark beyond the start of a later term refers to entries that no server retains. Waiting
+// for them would never end, so the floor is reduced to the retained part, and SourceCut allows the
+// proxy to report to the caller that its write was discarded.
 func FloorOf(m Marks, g *view.Group) Floor {
-	mark, ok := m[g.Name]
-	if !ok || mark.IsZero() {
+	watermark, ok := m[g.Name]
+	if !ok || watermark.IsZero() {
 		return Floor{Source: SourcePrimary}
 	}
-	if mark.Term > g.History.Last().Term {
-		return Floor{Position: mark, Source: SourceAhead}
+	if watermark.Term > g.History.Last().Term {
+		return Floor{Position: watermark, Source: SourceAhead}
 	}
-	kept := g.History.Kept(mark)
-	if kept != mark {
-		return Floor{Position: kept, Source: SourceCut}
+	retained := g.History.Kept(watermark)
+	if retained != watermark {
+		return Floor{Position: retained, Source: SourceCut}
 	}
-	return Floor{Position: mark, Source: SourceToken}
+	return Floor{Position: watermark, Source: SourceToken}
 }
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -16,10 +16,10 @@
 )
 
 var (
-	start  = time.Unix(1_800_000_000, 0)
-	first  = bytes.Repeat([]byte{1}, MinKeyBytes)
-	second = bytes.Repeat([]byte{2}, MinKeyBytes)
-	bought = Marks{"ledger-0": {Term: 3, LSN: 1 << 60}}
+	start            = time.Unix(1_800_000_000, 0)
+	first            = bytes.Repeat([]byte{1}, MinKeyBytes)
+	second           = bytes.Repeat([]byte{2}, MinKeyBytes)
+	issuedWatermarks = Marks{"ledger-0": {Term: 3, LSN: 1 << 60}}
 )
 
 func newKeys(t testing.TB) *Keys {
@@ -29,7 +29,7 @@
 }
 
 func issue(t testing.TB, k *Keys, user string) string {
-	token, err := k.Issue(user, bought, start)
+	token, err := k.Issue(user, issuedWatermarks, start)
 	require.NoError(t, err)
 	return token
 }
@@ -45,7 +45,7 @@
 	k := newKeys(t)
 	got, err := k.Verify(issue(t, k, "portal"), "portal", start.Add(time.Hour))
 	require.NoError(t, err)
-	require.Equal(t, bought, got)
+	require.Equal(t, issuedWatermarks, got)
 }
 
 func TestTokenOfAnotherUserIsRefused(t *testing.T) {
@@ -54,17 +54,17 @@
 	requireFault(t, FaultOtherUser, err)
 }
 
-// A stranger raises the position in the token and signs it with a key of their
-// own, or with none. The proxy must not take a position it never issued: it
-// could hold a session's reads back for ever.
+// Failure guarded against: an attacker raises the position in a token and signs it with another
+// key, or with none. The proxy must not accept a position that it never issued: such a position
+// could delay a session's reads forever.
 func TestForgedTokenIsRefused(t *testing.T) {
 	k := newKeys(t)
-	stranger, err := NewKeys("k1", map[string][]byte{"k1": second})
+	attacker, err := NewKeys("k1", map[string][]byte{"k1": second})
 	require.NoError(t, err)
-	_, err = k.Verify(issue(t, stranger, "portal"), "portal", start)
+	_, err = k.Verify(issue(t, attacker, "portal"), "portal", start)
 	requireFault(t, FaultForged, err)
 
-	unsigned := jwt.NewWithClaims(jwt.SigningMethodNone, claims{Marks: bought})
+	unsigned := jwt.NewWithClaims(jwt.SigningMethodNone, claims{Watermarks: issuedWatermarks})
 	unsigned.Header["kid"] = "k1"
 	token, err := unsigned.SignedString(jwt.UnsafeAllowNoneSignatureType)
 	require.NoError(t, err)
@@ -72,20 +72,20 @@
 	requireFault(t, FaultForged, err)
 }
 
-// A key is rotated while passengers hold tokens that the old one signed. They
-// must still be read until the old key is removed; then the refusal says why.
+// A key is rotated while callers hold tokens that the old one signed. These tokens must be accepted
+// until the old key is removed; after that, the refusal must state the reason.
 func TestTokenOutlivesRotationUntilItsKeyIsRemoved(t *testing.T) {
 	k := newKeys(t)
 	old := issue(t, k, "portal")
 	require.NoError(t, k.Replace("k2", map[string][]byte{"k1": first, "k2": second}))
 	_, err := k.Verify(old, "portal", start)
 	require.NoError(t, err)
-	young := issue(t, k, "portal")
+	newer := issue(t, k, "portal")
 
 	require.NoError(t, k.Replace("k2", map[string][]byte{"k2": second}))
 	_, err = k.Verify(old, "portal", start)
 	requireFault(t, FaultUnknownKey, err)
-	_, err = k.Verify(young, "portal", start)
+	_, err = k.Verify(newer, "portal", start)
 	require.NoError(t, err)
 }
 
