--- a/target/pgtarget/pgtarget.go
+++ b/target/pgtarget/pgtarget.go
@@ -1,11 +1,10 @@
-// Package pgtarget drives one database server's control interface over the
-// PostgreSQL protocol.
+// Package pgtarget implements target.Database, the control interface of one database server, over
+// the PostgreSQL protocol. Begin with Dial and Database.
 //
-// Each order of target.Database is one SQL statement, so that no second
-// protocol or port is needed. docs/DATABASE.md lists the functions that a real
-// PostgreSQL must have installed for it. A Database keeps one connection, which
-// it opens when it is first needed and again after a failure. Calls from
-// several goroutines queue for it.
+// Each command of target.Database is one SQL statement, so that no second protocol or port is
+// needed. docs/DATABASE.md lists the functions that must be installed in a real PostgreSQL for
+// this. A Database has one connection, which it opens on first use and again after a failure.
+// Concurrent calls wait for the connection. The package does not run callers' statements.
 package pgtarget
 
 import (
@@ -21,13 +20,13 @@
 )
 
 const (
-	// ApplicationName marks control connections, which a server may exempt
-	// from its limit.
+	// ApplicationName marks control connections, which a server may exempt from its connection
+	// limit.
 	ApplicationName = "endivemoor-control"
 
-	// codeRefused is object_not_in_prerequisite_state: an order was refused.
+	// codeRefused is object_not_in_prerequisite_state: the server refused a command.
 	codeRefused = "55000"
-	// promisedPrefix starts the DETAIL of a refusal because of a promise.
+	// promisedPrefix starts the DETAIL of a refusal that is due to a promised term.
 	promisedPrefix = "promised="
 )
 
@@ -45,34 +44,35 @@
 type Database struct {
 	id     target.ID
 	config *pgconn.Config
-	// turn holds one token: the right to use conn.
-	turn chan struct{}
-	conn *pgconn.PgConn
-	// status is the status query as conn has prepared it; nil if it has not.
+	// connSlot is a semaphore of capacity one; its holder may use conn.
+	connSlot chan struct{}
+	conn     *pgconn.PgConn
+	// status is the status query as prepared on conn; nil if it is not prepared.
 	status *pgconn.StatementDescription
 }
 
 var _ target.Database = (*Database)(nil)
 
-// New returns a Database that connects when it is first used. It fails only
-// when connString, a PostgreSQL URL or key=value list, is malformed.
+// New returns a Database that connects on first use. It fails only if connString, a PostgreSQL URL
+// or key=value list, is malformed.
 func New(id target.ID, connString string) (*Database, error) {
 	cfg, err := pgconn.ParseConfig(connString)
 	if err != nil {
-		return nil, errors.Wrapf(err, "connection string of server %s", id)
+		return nil, errors.Wrapf(err, "parse connection string of server %s", id)
 	}
 	if cfg.RuntimeParams["application_name"] == "" {
 		cfg.RuntimeParams["application_name"] = ApplicationName
 	}
-	return &Database{id: id, config: cfg, turn: make(chan struct{}, 1)}, nil
+	return &Database{id: id, config: cfg, connSlot: make(chan struct{}, 1)}, nil
 }
 
-// Dial is New, and connects at once.
+// Dial returns a connected Database.
 func Dial(ctx context.Context, id target.ID, connString string) (target.Database, error) {
 	return DialBy(ctx, id, connString, nil)
 }
 
-// DialBy is Dial over connections that dial opens; nil takes the usual ones.
+// DialBy returns a Database that is connected through dial; if dial is nil, the default dial
+// function is used.
 func DialBy(ctx context.Context, id target.ID, connString string, dial pgconn.DialFunc) (target.Database, error) {
 	d, err := New(id, connString)
 	if err != nil {
@@ -89,22 +89,22 @@
 
 // Status implements target.Database.
 func (d *Database) Status(ctx context.Context) (target.Status, error) {
-	return d.orderStatus(ctx, 0, statusQuery)
+	return d.runForStatus(ctx, 0, statusQuery)
 }
 
 // Fence implements target.Database. A refusal is a *target.FencedError.
 func (d *Database) Fence(ctx context.Context, term timeline.Term) (target.Status, error) {
-	return d.orderStatus(ctx, term, fenceQuery, termText(term))
+	return d.runForStatus(ctx, term, fenceQuery, termText(term))
 }
 
 // Promote implements target.Database. A refusal is a *target.FencedError.
 func (d *Database) Promote(ctx context.Context, term timeline.Term) (target.Status, error) {
-	return d.orderStatus(ctx, term, promoteQuery, termText(term))
+	return d.runForStatus(ctx, term, promoteQuery, termText(term))
 }
 
 // Follow implements target.Database. A refusal is a *target.FencedError.
 func (d *Database) Follow(ctx context.Context, primary string, term timeline.Term) ([]target.Entry, error) {
-	rows, err := d.order(ctx, term, followQuery, primary, termText(term))
+	rows, err := d.run(ctx, term, followQuery, primary, termText(term))
 	if err != nil {
 		return nil, err
 	}
@@ -112,7 +112,7 @@
 	for _, row := range rows {
 		e, err := parseEntry(row)
 		if err != nil {
-			return nil, errors.Wrapf(err, "discarded entry from server %s", d.id)
+			return nil, errors.Wrapf(err, "parse discarded entry of server %s", d.id)
 		}
 		out = append(out, e)
 	}
@@ -121,10 +121,10 @@
 
 // Close implements target.Database.
 func (d *Database) Close(ctx context.Context) error {
-	if err := d.take(ctx); err != nil {
+	if err := d.acquire(ctx); err != nil {
 		return err
 	}
-	defer d.give()
+	defer d.release()
 	if d.conn == nil {
 		return nil
 	}
@@ -133,46 +133,46 @@
 	return errors.Wrapf(err, "close the connection to server %s", d.id)
 }
 
-func (d *Database) take(ctx context.Context) error {
+func (d *Database) acquire(ctx context.Context) error {
 	select {
-	case d.turn <- struct{}{}:
+	case d.connSlot <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return errors.Wrapf(ctx.Err(), "wait for the connection to server %s", d.id)
 	}
 }
 
-func (d *Database) give() { <-d.turn }
+func (d *Database) release() { <-d.connSlot }
 
-func (d *Database) orderStatus(ctx context.Context, term timeline.Term, query string, args ...string) (target.Status, error) {
-	rows, err := d.order(ctx, term, query, args...)
+func (d *Database) runForStatus(ctx context.Context, term timeline.Term, query string, args ...string) (target.Status, error) {
+	rows, err := d.run(ctx, term, query, args...)
 	if err != nil {
 		return target.Status{}, err
 	}
 	if len(rows) != 1 {
-		return target.Status{}, errors.Errorf("server %s answered %d rows of status", d.id, len(rows))
+		return target.Status{}, errors.Errorf("server %s returned %d status rows, want 1", d.id, len(rows))
 	}
 	s, err := parseStatus(rows[0])
-	return s, errors.Wrapf(err, "status of server %s", d.id)
+	return s, errors.Wrapf(err, "parse status row of server %s", d.id)
 }
 
-// order gives one order. When a connection that was kept turns out to be
-// broken, the order is given once more over a new one: every order is
-// idempotent, so it does not matter whether the first arrived.
-func (d *Database) order(ctx context.Context, term timeline.Term, query string, args ...string) ([][][]byte, error) {
-	if err := d.take(ctx); err != nil {
+// run executes one command. If a reused connection turns out to be broken, the command is executed
+// once more over a new one: every command is idempotent, so it does not matter whether the first
+// one arrived.
+func (d *Database) run(ctx context.Context, term timeline.Term, query string, args ...string) ([][][]byte, error) {
+	if err := d.acquire(ctx); err != nil {
 		return nil, err
 	}
-	defer d.give()
-	kept := d.conn != nil && !d.conn.IsClosed()
-	rows, err := d.attempt(ctx, query, args)
-	if err != nil && kept && d.conn.IsClosed() && ctx.Err() == nil {
-		rows, err = d.attempt(ctx, query, args)
+	defer d.release()
+	reused := d.conn != nil && !d.conn.IsClosed()
+	rows, err := d.runOnce(ctx, query, args)
+	if err != nil && reused && d.conn.IsClosed() && ctx.Err() == nil {
+		rows, err = d.runOnce(ctx, query, args)
 	}
-	return rows, d.typed(err, term)
+	return rows, d.wrapError(err, term)
 }
 
-func (d *Database) attempt(ctx context.Context, query string, args []string) ([][][]byte, error) {
+func (d *Database) runOnce(ctx context.Context, query string, args []string) ([][][]byte, error) {
 	if d.conn == nil || d.conn.IsClosed() {
 		conn, err := pgconn.ConnectConfig(ctx, d.config)
 		if err != nil {
@@ -181,7 +181,7 @@
 		d.conn, d.status = conn, nil
 	}
 	if query == statusQuery {
-		return d.askStatus(ctx)
+		return d.queryStatus(ctx)
 	}
 	params := make([][]byte, len(args))
 	for i, a := range args {
@@ -191,11 +191,11 @@
 	return res.Rows, res.Err
 }
 
-// askStatus asks by a prepared statement. It is asked many times a second on
-// each control connection, and the description of its columns would be over half
-// of the bytes. A server that no longer takes the prepared form, as after a
-// change of the function, costs the connection; the next one prepares anew.
-func (d *Database) askStatus(ctx context.Context) ([][][]byte, error) {
+// queryStatus executes the status query as a prepared statement, because it runs many times a
+// second on each control connection, and the description of its columns would be over half of the
+// bytes. If the server no longer accepts the prepared statement, for example after a change of the
+// function, the connection is closed, and the next connection prepares the statement again.
+func (d *Database) queryStatus(ctx context.Context) ([][][]byte, error) {
 	if d.status == nil {
 		prepared, err := d.conn.Prepare(ctx, statusName, statusQuery, nil)
 		if err != nil {
@@ -210,15 +210,15 @@
 	return res.Rows, res.Err
 }
 
-// typed turns a refusal into a *target.FencedError and names the server in any
-// other error.
-func (d *Database) typed(err error, ordered timeline.Term) error {
+// wrapError converts a refusal into a *target.FencedError and adds the server's name to any other
+// error.
+func (d *Database) wrapError(err error, ordered timeline.Term) error {
 	var pgErr *pgconn.PgError
 	if !errors.As(err, &pgErr) || pgErr.Code != codeRefused {
 		return errors.Wrapf(err, "server %s", d.id)
 	}
-	text, ok := strings.CutPrefix(pgErr.Detail, promisedPrefix)
-	promised, perr := strconv.ParseUint(text, 10, 64)
+	promisedText, ok := strings.CutPrefix(pgErr.Detail, promisedPrefix)
+	promised, perr := strconv.ParseUint(promisedText, 10, 64)
 	if !ok || perr != nil {
 		return errors.Wrapf(err, "server %s", d.id)
 	}
--- a/target/pgtarget/pgtarget_test.go
+++ b/target/pgtarget/pgtarget_test.go
@@ -44,9 +44,9 @@
 	}, waitLimit, time.Millisecond)
 }
 
-// The primary writes on while cut off from its replicas. The others move on to
-// term 2. When it is told to follow, it names what it wrote alone, and names it
-// again when the answer was lost and the order is repeated.
+// The primary keeps writing while it is cut off from its replicas, and the others move to term 2.
+// When the old primary is commanded to follow, it returns the entries that only it had, and it
+// returns them again when the answer was lost and the command is repeated.
 func TestFailoverAndRejoin(t *testing.T) {
 	a, da := start(t, dbd.Options{ID: "a", Role: dbd.RolePrimary})
 	b, db := start(t, dbd.Options{ID: "b", Primary: a.Addr()})
@@ -85,9 +85,9 @@
 	atEnd(t, dc, timeline.Position{Term: 2, LSN: 4})
 }
 
-// A promoter that was paused past its lease wakes and goes on with its old
-// term. Each of its orders must be refused with the term that superseded it.
-func TestSupersededOrdersAreRefused(t *testing.T) {
+// Failure guarded against: a promoter that was paused past its lease resumes and continues with its
+// old term. The server must refuse each of its commands and return the term that superseded it.
+func TestSupersededCommandsAreRefused(t *testing.T) {
 	a, da := start(t, dbd.Options{ID: "a", Role: dbd.RolePrimary})
 	_, err := da.Fence(t.Context(), 9)
 	require.NoError(t, err)
@@ -99,11 +99,11 @@
 	_, err = da.Follow(t.Context(), a.Addr(), 8)
 	require.Equal(t, want, err)
 	_, err = da.Fence(t.Context(), 9)
-	require.NoError(t, err, "the same order again is no refusal")
+	require.NoError(t, err, "a repeated command is not refused")
 }
 
-// A frozen server accepts TCP and answers nothing: the call ends at its
-// deadline, and the next one after the thaw uses a new connection.
+// A frozen server accepts TCP connections and answers nothing: the call ends at its deadline, and
+// the first call after the server has resumed uses a new connection.
 func TestDeadlineThenReconnect(t *testing.T) {
 	a, da := start(t, dbd.Options{ID: "a", Role: dbd.RolePrimary})
 	a.Faults().Freeze()
--- a/target/pgtarget/rows.go
+++ b/target/pgtarget/rows.go
@@ -9,13 +9,14 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// Columns of a status row: server, role, term, promised, lsn, start_lsn.
+// statusColumns is the number of columns of a status row: server, role, term, promised, lsn,
+// start_lsn.
 const statusColumns = 6
 
-// Columns of a discarded entry's row: term, lsn, statement.
+// entryColumns is the number of columns of a discarded entry's row: term, lsn, statement.
 const entryColumns = 3
 
-// roles maps the names on the wire.
+// roles maps the names on the wire to roles.
 var roles = map[string]target.Role{
 	target.RolePrimary.String(): target.RolePrimary,
 	target.RoleReplica.String(): target.RoleReplica,
@@ -23,7 +24,7 @@
 
 func parseStatus(row [][]byte) (target.Status, error) {
 	if len(row) != statusColumns {
-		return target.Status{}, errors.Errorf("%d columns instead of %d", len(row), statusColumns)
+		return target.Status{}, errors.Errorf("got %d columns, want %d", len(row), statusColumns)
 	}
 	n, err := numbers(row[2:])
 	if err != nil {
@@ -41,7 +42,7 @@
 
 func parseEntry(row [][]byte) (target.Entry, error) {
 	if len(row) != entryColumns {
-		return target.Entry{}, errors.Errorf("%d columns instead of %d", len(row), entryColumns)
+		return target.Entry{}, errors.Errorf("got %d columns, want %d", len(row), entryColumns)
 	}
 	n, err := numbers(row[:2])
 	if err != nil {
@@ -58,7 +59,7 @@
 	for i, c := range cells {
 		n, err := strconv.ParseUint(string(c), 10, 64)
 		if err != nil {
-			return nil, errors.Wrap(err, "number in a control row")
+			return nil, errors.Wrap(err, "parse number in a control row")
 		}
 		out[i] = n
 	}
