--- a/ratelimit/doc.go
+++ b/ratelimit/doc.go
@@ -1,36 +1,40 @@
 // Package ratelimit decides how many operations of a workspace a fleet lets through:
-// its rate and burst hold over all VMs together, without a coordinator.
+// the workspace's rate and burst hold over all VMs together, without a coordinator.
+//
+// An Assignment names the owners of each workspace, Buckets hold the token buckets that
+// this VM owns, and a TokenCache holds the tokens that owners granted to this VM. Requests
+// to owners, their timeouts and the refusal of operations are the caller's part.
 //
 // # Design
 //
-// The limit of a workspace is dealt in equal parts to few VMs, its owners, in
-// different availability zones. An owner keeps a token bucket of its part. A VM asks
-// an owner for a token before it sends an operation to a target, the nearest one
-// first, and the others if that one has none or does not answer: two parts of three
-// carry a workspace that asks for less than two thirds of its limit while an owner is
-// away. Tokens lapse a moment after they were asked for.
+// The limit of a workspace is divided into equal shares among a few VMs, its owners, in
+// different availability zones. An owner keeps a token bucket for its share. A VM requests
+// a token from an owner before it sends an operation to a target: from the nearest owner
+// first, and from the others if that one has no token or does not reply. Two shares of
+// three serve a workspace that needs less than two thirds of its limit while an owner is
+// unavailable. Tokens expire shortly after they were requested.
 //
-// All that binds is in the owners, so that no schedule of restarts, cuts and freezes
-// elsewhere makes more tokens:
+// Only the owners enforce the limit, so that no schedule of restarts, network partitions
+// and pauses elsewhere creates more tokens:
 //
-//   - A VM that is cut off, frozen or starts anew has no tokens but those that an owner
-//     gave it, and they lapse by a clock that counts while it is suspended.
-//   - An owner that starts anew begins with an almost empty bucket, whatever the burst.
-//   - A VM that becomes an owner in the place of another that lives waits until that one
-//     has learned of it, or else both would fill their buckets. One that leaves stops
-//     before its entry is taken off the list.
+//   - A VM that is partitioned, paused or restarted has no tokens but those that an owner
+//     granted to it, and they expire by a clock that counts while the VM is suspended.
+//   - An owner that restarts begins with an almost empty bucket, whatever the burst.
+//   - A VM that replaces an owner that is still alive waits until that owner has received
+//     the new list, or else both would fill their buckets. An owner that leaves stops
+//     granting before its entry is removed from the list.
 //
-// What a deployment tolerates above the limit pays for what is left: the time for which
-// tokens last, and the first tokens of an owner that starts anew.
+// What a deployment tolerates above the limit covers the remaining excess: the lifetime of
+// tokens, and the initial tokens of an owner that restarts.
 //
 // # Alternatives
 //
-// Equal parts for all VMs refuse most of a small workspace: of two operations a second
-// each of 76 VMs may let one through in 38 s. Parts that follow the demand which VMs
-// tell each other are right a moment later than the demand, and a VM that is cut off
-// must fall back to the equal part. Counting at the gateways to targets needs no
-// message, but a workspace's operations spread over two gateways for each target, so
-// that parts of the limit would have to follow its targets as well.
+// Equal shares for all VMs refuse most operations of a small workspace: at two operations a
+// second, each of 76 VMs may let one through in 38 s. Shares that follow the demand that
+// VMs report to each other lag behind the demand, and a partitioned VM must fall back to
+// the equal share. Counting at the gateways to targets needs no message, but a workspace's
+// operations spread over two gateways for each target, so that shares of the limit would
+// have to follow its targets as well.
 //
-// The package is pure.
+// The package is pure: it does no I/O, and the current time is passed in.
 package ratelimit
--- a/ratelimit/owners.go
+++ b/ratelimit/owners.go
@@ -13,130 +13,131 @@
 )
 
 const (
-	// parts is how many owners a workspace has.
-	parts = 3
-	// settleAfter is how long a VM waits before it acts as an owner in the place of another
-	// that lives: the former one has learned of it by then.
-	settleAfter = 1500 * time.Millisecond
-	// remembered is how long replaced lists are kept: an owner for so long has a full
-	// bucket, and need not prove more.
-	remembered = 10 * time.Second
+	ownersPerWorkspace = 3
+	// settlePeriod is how long a VM waits before it acts as an owner in place of a VM that is
+	// still alive: the former owner has received the new list by then.
+	settlePeriod = 1500 * time.Millisecond
+	// historyRetention is how long replaced assignments are retained: a VM that has been an
+	// owner for this long has a full bucket, so that the earlier history is not needed.
+	historyRetention = 10 * time.Second
 )
 
-// Plan says who owns which workspace, by one state of the fleet's list. It is safe for
-// concurrent use.
+// Assignment is the mapping of workspaces to owners by one version of the fleet's list. It
+// is safe for concurrent use.
 type Plan struct {
 	self  string
 	vms   []catalog.VM
 	since clock.Time
-	// before is the plan that this one has replaced, for as long as that is remembered.
-	before *Plan
+	// previous is the assignment that this one has replaced, while that is retained.
+	previous *Plan
 
-	mu sync.Mutex
-	of map[string][]catalog.VM
+	mu     sync.Mutex
+	owners map[string][]catalog.VM
 }
 
-// NewPlan returns a VM's plan of a fleet that it has just learned of.
+// NewAssignment returns a VM's assignment for a fleet's list that it has just received.
 func NewPlan(self string, vms []catalog.VM, now clock.Time) *Plan {
-	return &Plan{self: self, vms: vms, since: now, of: make(map[string][]catalog.VM)}
+	return &Plan{self: self, vms: vms, since: now, owners: make(map[string][]catalog.VM)}
 }
 
-// Next returns the plan for a later state of the list. An empty list tells nothing.
-func (p *Plan) Next(vms []catalog.VM, now clock.Time) *Plan {
-	if len(vms) == 0 || p.IsOf(vms) {
-		return p
+// Next returns the assignment for a later version of the list. An empty list is ignored.
+func (a *Plan) Next(vms []catalog.VM, now clock.Time) *Plan {
+	if len(vms) == 0 || a.IsOf(vms) {
+		return a
 	}
-	next := NewPlan(p.self, vms, now)
-	if len(p.vms) > 0 {
-		next.before = p
-		next.forget(now)
+	next := NewPlan(a.self, vms, now)
+	if len(a.vms) > 0 {
+		next.previous = a
+		next.pruneHistory(now)
 	}
 	return next
 }
 
-// IsOf reports whether the plan is of a list, or of one that makes the same owners.
-func (p *Plan) IsOf(vms []catalog.VM) bool {
-	return slices.EqualFunc(p.vms, vms, func(a, b catalog.VM) bool { return a.ID == b.ID && a.Zone == b.Zone && a.Peer == b.Peer })
+// Matches reports whether the assignment was made from the list, or from one that results
+// in the same owners.
+func (a *Plan) IsOf(vms []catalog.VM) bool {
+	return slices.EqualFunc(a.vms, vms, func(x, y catalog.VM) bool { return x.ID == y.ID && x.Zone == y.Zone && x.Peer == y.Peer })
 }
 
-// forget drops the plans that were replaced long ago.
-func (p *Plan) forget(now clock.Time) {
-	for q := p; q != nil; q = q.before {
-		if now.Sub(q.since) >= remembered {
-			q.before = nil
+// pruneHistory drops the assignments that were replaced longer than historyRetention ago.
+func (a *Plan) pruneHistory(now clock.Time) {
+	for q := a; q != nil; q = q.previous {
+		if now.Sub(q.since) >= historyRetention {
+			q.previous = nil
 		}
 	}
 }
 
 // Owners returns the owners of a workspace.
-func (p *Plan) Owners(workspace string) []catalog.VM {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	out, ok := p.of[workspace]
+func (a *Plan) Owners(workspace string) []catalog.VM {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	out, ok := a.owners[workspace]
 	if !ok {
-		out = choose(workspace, p.vms)
-		p.of[workspace] = out
+		out = chooseOwners(workspace, a.vms)
+		a.owners[workspace] = out
 	}
 	return out
 }
 
-// Part is what a VM owns of a workspace's limit: one of so many equal parts. Of is 0 if
-// it owns none, or does not yet.
+// Share is a VM's share of a workspace's limit, which is divided equally among the owners.
 type Part struct {
+	// Owners is the number of owners of the workspace; 0 if the VM is not an owner, or does
+	// not act as one yet.
 	Of int
-	// Since is a moment from which on it has been the owner.
+	// Since is a time since which the VM has been an owner.
 	Since clock.Time
 }
 
-// Part returns what this VM owns of a workspace's limit.
-func (p *Plan) Part(workspace string, now clock.Time) Part {
-	out := Part{Of: len(p.Owners(workspace))}
-	q := p
-	for ; q != nil && q.owns(workspace); q = q.before {
+// Share returns this VM's share of a workspace's limit.
+func (a *Plan) Part(workspace string, now clock.Time) Part {
+	out := Part{Of: len(a.Owners(workspace))}
+	q := a
+	for ; q != nil && q.owns(workspace); q = q.previous {
 		out.Since = q.since
 	}
-	if q == p || (q != nil && now.Sub(out.Since) < settleAfter && p.displaces(q.Owners(workspace), workspace)) {
+	if q == a || (q != nil && now.Sub(out.Since) < settlePeriod && a.displacesActiveOwner(q.Owners(workspace), workspace)) {
 		return Part{}
 	}
 	return out
 }
 
-// displaces reports whether one of some former owners of a workspace is on the list still,
-// and no owner any more: it goes on until it has learned of that. One that is off the list
-// has stopped before.
-func (p *Plan) displaces(former []catalog.VM, workspace string) bool {
+// displacesActiveOwner reports whether one of the former owners of a workspace is still on
+// the list but no longer an owner: it goes on granting tokens until it has received the new
+// list. A VM that is no longer on the list stopped granting before its entry was removed.
+func (a *Plan) displacesActiveOwner(former []catalog.VM, workspace string) bool {
 	return slices.ContainsFunc(former, func(vm catalog.VM) bool {
 		is := func(other catalog.VM) bool { return other.ID == vm.ID }
-		return slices.ContainsFunc(p.vms, is) && !slices.ContainsFunc(p.Owners(workspace), is)
+		return slices.ContainsFunc(a.vms, is) && !slices.ContainsFunc(a.Owners(workspace), is)
 	})
 }
 
-func (p *Plan) owns(workspace string) bool {
-	return slices.ContainsFunc(p.Owners(workspace), func(vm catalog.VM) bool { return vm.ID == p.self })
+func (a *Plan) owns(workspace string) bool {
+	return slices.ContainsFunc(a.Owners(workspace), func(vm catalog.VM) bool { return vm.ID == a.self })
 }
 
-// Nearest returns the owners in the order in which a VM of a zone asks them.
-func (p *Plan) Nearest(workspace, zone string) []catalog.VM {
-	out := slices.Clone(p.Owners(workspace))
+// Nearest returns the owners in the order in which a VM of a zone requests tokens from them.
+func (a *Plan) Nearest(workspace, zone string) []catalog.VM {
+	out := slices.Clone(a.Owners(workspace))
 	rank := func(vm catalog.VM) uint64 {
 		if vm.Zone == zone {
 			return 0
 		}
-		return max(hash(p.self, workspace, vm.ID), 1)
+		return max(hash(a.self, workspace, vm.ID), 1)
 	}
-	slices.SortStableFunc(out, func(a, b catalog.VM) int { return cmp.Compare(rank(a), rank(b)) })
+	slices.SortStableFunc(out, func(x, y catalog.VM) int { return cmp.Compare(rank(x), rank(y)) })
 	return out
 }
 
-// candidate is a VM with its rank within its zone, 0 being the first.
+// candidate is a VM with its rank within its zone; 0 is the first.
 type candidate struct {
 	vm   catalog.VM
 	rank int
 }
 
-// choose draws owners by rendezvous hashing, of as many zones as there are, so that a VM
-// which joins or goes changes few workspaces' owners.
-func choose(workspace string, vms []catalog.VM) []catalog.VM {
+// chooseOwners selects owners by rendezvous hashing, so that a VM that joins or leaves
+// changes the owners of few workspaces. It spreads them over as many zones as there are.
+func chooseOwners(workspace string, vms []catalog.VM) []catalog.VM {
 	byZone := make(map[string][]catalog.VM)
 	for _, vm := range vms {
 		byZone[vm.Zone] = append(byZone[vm.Zone], vm)
@@ -146,15 +147,15 @@
 		slices.SortFunc(zone, func(a, b catalog.VM) int {
 			return cmp.Or(cmp.Compare(hash(workspace, a.ID), hash(workspace, b.ID)), cmp.Compare(a.ID, b.ID))
 		})
-		for i, vm := range zone[:min(parts, len(zone))] {
+		for i, vm := range zone[:min(ownersPerWorkspace, len(zone))] {
 			all = append(all, candidate{vm, i})
 		}
 	}
 	slices.SortFunc(all, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(hash(workspace, a.vm.Zone), hash(workspace, b.vm.Zone)), cmp.Compare(a.vm.ID, b.vm.ID))
 	})
-	out := make([]catalog.VM, 0, parts)
-	for _, c := range all[:min(parts, len(all))] {
+	out := make([]catalog.VM, 0, ownersPerWorkspace)
+	for _, c := range all[:min(ownersPerWorkspace, len(all))] {
 		out = append(out, c.vm)
 	}
 	return out
--- a/ratelimit/ratelimit_test.go
+++ b/ratelimit/ratelimit_test.go
@@ -13,7 +13,8 @@
 	"endivemoor.example/endivemoor/clock"
 )
 
-// What the deployments promise: within a window, at most this much above the limit.
+// The excess over the limit that deployments tolerate: operations within a window may exceed it
+// by this fraction, and by margin operations beyond that.
 const (
 	window = 5 * time.Second
 	excess = 0.1
@@ -22,42 +23,43 @@
 
 const workspace = "w"
 
-// fleet plays VMs that ask owners for tokens, as package edge does, without a network.
+// fleet simulates VMs that request tokens from owners, as package edge does, without a
+// network.
 type fleet struct {
 	now  clock.Time
 	vms  map[string]*vm
 	list []catalog.VM
-	// owners are those by the list: at a thousand VMs each of them would draw the same.
+	// owners is computed from the list once, as every VM of a thousand computes the same.
 	owners []catalog.VM
 	w      catalog.Workspace
-	// ran are the moments at which operations were let through.
-	ran []clock.Time
-	// limits are those in force, with their moments.
-	limits []limited
+	// allowedAt holds the times at which operations were let through.
+	allowedAt []clock.Time
+	// limits holds the limits with the times from which they were in force.
+	limits []limitChange
 }
 
-type limited struct {
+type limitChange struct {
 	at clock.Time
 	w  catalog.Workspace
 }
 
 type vm struct {
 	catalog.VM
-	plan   *Plan
-	ledger *Ledger
-	purse  *Purse
-	down   bool
-	group  int // VMs of other groups cannot be reached
-	frozen clock.Time
+	assignment *Plan
+	buckets    *Ledger
+	cache      *Purse
+	down       bool
+	group      int // VMs of other groups are unreachable
+	frozen     clock.Time
 }
 
 func newFleet(n int, w catalog.Workspace) *fleet {
 	f := &fleet{now: clock.Time(time.Hour), vms: make(map[string]*vm), w: w}
-	f.limits = []limited{{f.now, w}}
+	f.limits = []limitChange{{f.now, w}}
 	for i := range n {
 		f.list = append(f.list, catalog.VM{ID: fmt.Sprintf("vm%04d", i), Zone: fmt.Sprint("z", i%3)})
 	}
-	f.owners = choose(workspace, f.list)
+	f.owners = chooseOwners(workspace, f.list)
 	for _, e := range f.list {
 		f.vms[e.ID] = &vm{VM: e}
 		f.start(f.vms[e.ID])
@@ -65,69 +67,69 @@
 	return f
 }
 
-// start begins a VM's process anew.
+// start starts or restarts a VM's process.
 func (f *fleet) start(v *vm) {
 	v.down = false
-	v.plan = NewPlan(v.ID, nil, f.now).Next(f.list, f.now)
-	v.plan.of[workspace] = f.owners
-	v.ledger, v.purse = NewLedger(margin), NewPurse()
+	v.assignment = NewPlan(v.ID, nil, f.now).Next(f.list, f.now)
+	v.assignment.owners[workspace] = f.owners
+	v.buckets, v.cache = NewLedger(margin), NewPurse()
 }
 
-// relist changes the fleet's list, of which the VMs that can be told learn at once.
-func (f *fleet) relist(list []catalog.VM, tells func(v *vm) bool) {
-	f.list, f.owners = list, choose(workspace, list)
+// relist changes the fleet's list. The VMs that receives accepts get the new list at once.
+func (f *fleet) relist(list []catalog.VM, receives func(v *vm) bool) {
+	f.list, f.owners = list, chooseOwners(workspace, list)
 	for _, v := range f.vms {
-		if !v.down && tells(v) {
-			v.plan = v.plan.Next(list, f.now)
-			v.plan.of[workspace] = f.owners
+		if !v.down && receives(v) {
+			v.assignment = v.assignment.Next(list, f.now)
+			v.assignment.owners[workspace] = f.owners
 		}
 	}
 }
 
-func (f *fleet) draw(owner *vm, want int) (int, time.Duration) {
-	part := owner.plan.Part(workspace, f.now)
-	if part.Of == 0 {
+func (f *fleet) requestTokens(owner *vm, want int) (int, time.Duration) {
+	share := owner.assignment.Part(workspace, f.now)
+	if share.Of == 0 {
 		return 0, 0
 	}
-	return owner.ledger.Grant(f.now, &f.w, part, want)
+	return owner.buckets.Grant(f.now, &f.w, share, want)
 }
 
-// operate asks a VM to let one operation through.
+// operate sends one operation to a VM, and reports whether the VM lets it through.
 func (f *fleet) operate(v *vm) bool {
 	if v.down || f.now.Before(v.frozen) {
 		return false
 	}
-	v.purse.Asked(f.now, workspace)
-	if v.purse.Spend(f.now, workspace) {
-		f.ran = append(f.ran, f.now)
+	v.cache.Asked(f.now, workspace)
+	if v.cache.Spend(f.now, workspace) {
+		f.allowedAt = append(f.allowedAt, f.now)
 		return true
 	}
-	if v.purse.Closed(f.now, workspace) > 0 {
+	if v.cache.Closed(f.now, workspace) > 0 {
 		return false
 	}
-	comeBack := time.Second
-	for _, e := range v.plan.Nearest(workspace, v.Zone) {
+	retryAfter := time.Second
+	for _, e := range v.assignment.Nearest(workspace, v.Zone) {
 		owner := f.vms[e.ID]
 		if owner == nil || owner.down || owner.group != v.group || f.now.Before(owner.frozen) {
 			continue
 		}
-		tokens, after := f.draw(owner, v.purse.Want(f.now, workspace))
-		v.purse.Put(workspace, f.now, tokens)
-		if v.purse.Spend(f.now, workspace) {
-			f.ran = append(f.ran, f.now)
+		tokens, after := f.requestTokens(owner, v.cache.Want(f.now, workspace))
+		v.cache.Put(workspace, f.now, tokens)
+		if v.cache.Spend(f.now, workspace) {
+			f.allowedAt = append(f.allowedAt, f.now)
 			return true
 		}
-		comeBack = min(comeBack, after)
+		retryAfter = min(retryAfter, after)
 	}
-	v.purse.Close(f.now, workspace, comeBack)
+	v.cache.Close(f.now, workspace, retryAfter)
 	return false
 }
 
-// check slides the window over all that was let through.
+// check slides the window over all operations that were let through.
 func (f *fleet) check(t require.TestingT) {
 	last := 0
-	for first, from := range f.ran {
-		for last < len(f.ran) && f.ran[last].Sub(from) < window {
+	for first, from := range f.allowedAt {
+		for last < len(f.allowedAt) && f.allowedAt[last].Sub(from) < window {
 			last++
 		}
 		most := 0.0
@@ -145,7 +147,8 @@
 	return catalog.Workspace{Name: workspace, Limited: true, Rate: rate, Burst: rate}
 }
 
-// Guards against: operations refused though the workspace asks for less than its limit.
+// Failure guarded against: operations are refused although the workspace stays below its
+// limit.
 func TestNothingBelowTheLimitIsRefused(t *testing.T) {
 	for _, n := range []int{1, 3, 76, 1000} {
 		for _, rate := range []float64{2, 20, 125} {
@@ -165,7 +168,8 @@
 	}
 }
 
-// Guards against: a limit that lets less through than it says while a workspace floods the fleet.
+// Failure guarded against: while a workspace floods the fleet, less than its limit is let
+// through.
 func TestAFloodGetsItsLimit(t *testing.T) {
 	for _, n := range []int{3, 76, 1000} {
 		for _, rate := range []float64{5, 23, 125} {
@@ -174,13 +178,13 @@
 				f.now = f.now.Add(time.Duration(float64(time.Second) / rate / 7.5))
 				f.operate(f.vms[f.list[(at*31)%n].ID])
 			}
-			require.Greater(t, float64(len(f.ran)), 0.95*(20*rate+rate), "%d VMs, %v a second", n, rate)
+			require.Greater(t, float64(len(f.allowedAt)), 0.95*(20*rate+rate), "%d VMs, %v a second", n, rate)
 			f.check(t)
 		}
 	}
 }
 
-// Guards against: a fleet that grants the burst again with each start.
+// Failure guarded against: the fleet grants the burst again after each restart.
 func TestRestartsGrantNoBurst(t *testing.T) {
 	f := newFleet(76, limit(125))
 	for round := range 6 {
@@ -195,10 +199,11 @@
 	f.check(t)
 }
 
-// Guards against: a workspace that loses more than a third of its limit with an owner.
-func TestTwoPartsOfThreeGoOnWithoutAnOwner(t *testing.T) {
+// Failure guarded against: a workspace loses more than a third of its limit when one owner
+// is unavailable.
+func TestTwoThirdsOfTheLimitRemainWithoutAnOwner(t *testing.T) {
 	f := newFleet(76, limit(20))
-	f.vms[f.vms[f.list[0].ID].plan.Owners(workspace)[0].ID].down = true
+	f.vms[f.vms[f.list[0].ID].assignment.Owners(workspace)[0].ID].down = true
 	refused := 0
 	for at := range 240 {
 		f.now = f.now.Add(time.Second / 12)
@@ -209,7 +214,8 @@
 	require.LessOrEqual(t, refused, 3)
 }
 
-// Guards against: two VMs that both act as the owner of one part, as one joins and the other has not heard of it.
+// Failure guarded against: a VM joins and becomes an owner, the former owner has not received
+// the new list, and both act as the owner of one share.
 func TestANewOwnerWaitsForTheFormerOne(t *testing.T) {
 	f := newFleet(30, limit(60))
 	former := f.owners
@@ -217,28 +223,29 @@
 	f.vms[joined.ID] = &vm{VM: joined}
 	f.start(f.vms[joined.ID])
 	f.relist(append(slices.Clone(f.list), joined), func(*vm) bool { return true })
-	require.Zero(t, f.vms[joined.ID].plan.Part(workspace, f.now).Of)
+	require.Zero(t, f.vms[joined.ID].assignment.Part(workspace, f.now).Of)
 	for _, e := range former {
-		require.Equal(t, contains(f.owners, e), f.vms[e.ID].plan.Part(workspace, f.now).Of > 0, e.ID)
+		require.Equal(t, contains(f.owners, e), f.vms[e.ID].assignment.Part(workspace, f.now).Of > 0, e.ID)
 	}
-	f.now = f.now.Add(settleAfter)
-	require.Equal(t, parts, f.vms[joined.ID].plan.Part(workspace, f.now).Of)
+	f.now = f.now.Add(settlePeriod)
+	require.Equal(t, ownersPerWorkspace, f.vms[joined.ID].assignment.Part(workspace, f.now).Of)
 }
 
-// Guards against: workspaces refused while VMs are stopped in turn, each of which has told that it leaves.
+// Failure guarded against: VMs announce that they leave and are stopped one after another,
+// and workspaces are refused meanwhile.
 func TestTheSuccessorOfAnOwnerThatLeftNeedNotWait(t *testing.T) {
 	f := newFleet(30, limit(60))
 	f.leave(f.owners[0])
 	for _, e := range f.owners {
-		require.Equal(t, parts, f.vms[e.ID].plan.Part(workspace, f.now).Of, e.ID)
+		require.Equal(t, ownersPerWorkspace, f.vms[e.ID].assignment.Part(workspace, f.now).Of, e.ID)
 	}
 }
 
-// joining is a VM that would become an owner.
+// joining returns a VM that would become an owner if it joined.
 func (f *fleet) joining() catalog.VM {
 	for n := 0; ; n++ {
 		e := catalog.VM{ID: fmt.Sprint("joined", n), Zone: fmt.Sprint("z", n%3)}
-		if contains(choose(workspace, append(slices.Clone(f.list), e)), e) {
+		if contains(chooseOwners(workspace, append(slices.Clone(f.list), e)), e) {
 			return e
 		}
 	}
@@ -248,14 +255,15 @@
 	return slices.ContainsFunc(vms, func(other catalog.VM) bool { return other.ID == vm.ID })
 }
 
-// Guards against: any schedule of restarts, cuts, freezes, joins, lowered limits and floods that lets more through than the limit.
+// Failure guarded against: some schedule of restarts, partitions, pauses, joins, lowered
+// limits and floods lets more through than the limit.
 func TestLimitHoldsInAnySchedule(t *testing.T) {
 	for _, n := range []int{3, 76, 1000} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				f := newFleet(n, limit(rapid.SampledFrom([]float64{1, 5, 23, 125}).Draw(t, "rate")))
 				for range rapid.IntRange(5, 25).Draw(t, "steps") {
-					f.strike(t)
+					f.injectFault(t)
 					f.flood(t)
 				}
 				f.check(t)
@@ -264,10 +272,10 @@
 	}
 }
 
-// strike draws one trouble.
-func (f *fleet) strike(t *rapid.T) {
+// injectFault draws one fault and applies it.
+func (f *fleet) injectFault(t *rapid.T) {
 	some := f.some(t)
-	switch rapid.IntRange(0, 9).Draw(t, "trouble") {
+	switch rapid.IntRange(0, 9).Draw(t, "fault") {
 	case 0:
 		for _, v := range some {
 			f.start(v)
@@ -287,7 +295,7 @@
 		}
 	case 4:
 		f.w = limit(rapid.SampledFrom([]float64{1, 5, 23, 125}).Draw(t, "next rate"))
-		f.limits = append(f.limits, limited{f.now, f.w})
+		f.limits = append(f.limits, limitChange{f.now, f.w})
 	case 5:
 		for _, v := range f.vms {
 			v.group = 0
@@ -312,7 +320,7 @@
 	}
 }
 
-// leave takes a VM off the list for good.
+// leave removes a VM from the list permanently.
 func (f *fleet) leave(leaving catalog.VM) {
 	f.vms[leaving.ID].down = true
 	var list []catalog.VM
@@ -324,7 +332,7 @@
 	f.relist(list, func(*vm) bool { return true })
 }
 
-// some draws VMs: often those that own the workspace.
+// some draws a set of VMs: in half of the cases the workspace's owners.
 func (f *fleet) some(t *rapid.T) []*vm {
 	var out []*vm
 	if rapid.Bool().Draw(t, "owners") {
@@ -333,16 +341,16 @@
 		}
 		return out
 	}
-	part := rapid.IntRange(1, 100).Draw(t, "percent")
+	percent := rapid.IntRange(1, 100).Draw(t, "percent")
 	for i, e := range f.list {
-		if (i*37)%100 < part {
+		if (i*37)%100 < percent {
 			out = append(out, f.vms[e.ID])
 		}
 	}
 	return out
 }
 
-// flood asks for a few times the limit, at one VM or at all.
+// flood sends operations at a multiple of the limit, to one VM or to all.
 func (f *fleet) flood(t *rapid.T) {
 	times := rapid.SampledFrom([]float64{0.5, 1, 7.5}).Draw(t, "times the limit")
 	one := rapid.Bool().Draw(t, "at one VM")
@@ -357,22 +365,24 @@
 	}
 }
 
-// Guards against: an owner that goes on from a bucket which filled while another VM was the owner.
+// Failure guarded against: a VM becomes an owner again and uses a bucket that filled while
+// another VM was the owner.
 func TestAnOwnerThatReturnsHasNoOldBucket(t *testing.T) {
-	l, now, w := NewLedger(0), clock.Time(time.Hour), limit(3)
+	buckets, now, w := NewLedger(0), clock.Time(time.Hour), limit(3)
 	w.Burst = 300
-	tokens, _ := l.Grant(now, &w, Part{Of: parts, Since: now}, 10)
+	tokens, _ := buckets.Grant(now, &w, Part{Of: ownersPerWorkspace, Since: now}, 10)
 	require.Zero(t, tokens)
 	now = now.Add(20 * time.Second)
-	tokens, _ = l.Grant(now, &w, Part{Of: parts, Since: now.Add(-2 * time.Second)}, 10)
+	tokens, _ = buckets.Grant(now, &w, Part{Of: ownersPerWorkspace, Since: now.Add(-2 * time.Second)}, 10)
 	require.Equal(t, 2, tokens)
 }
 
-// Guards against: tokens that a VM saves up, or had before it was suspended, and spends beside those of a later window.
-func TestTokensLapse(t *testing.T) {
-	p, now := NewPurse(), clock.Time(time.Hour)
-	p.Put(workspace, now, 2)
-	require.True(t, p.Spend(now.Add(tokenLife-1), workspace))
-	require.False(t, p.Spend(now.Add(tokenLife), workspace))
-	require.Less(t, tokenLife.Seconds(), window.Seconds()*excess, "what is granted in its life is tolerated")
+// Failure guarded against: a VM saves up tokens, or has some from before it was suspended,
+// and spends them in addition to those of a later window.
+func TestTokensExpire(t *testing.T) {
+	cache, now := NewPurse(), clock.Time(time.Hour)
+	cache.Put(workspace, now, 2)
+	require.True(t, cache.Spend(now.Add(tokenLifetime-1), workspace))
+	require.False(t, cache.Spend(now.Add(tokenLifetime), workspace))
+	require.Less(t, tokenLifetime.Seconds(), window.Seconds()*excess, "what is granted within a token's lifetime is within the tolerance")
 }
