--- a/gateways/gateways.go
+++ b/gateways/gateways.go
@@ -1,15 +1,19 @@
-// Package gateways decides which VMs hold the connections to a target where
-// there are too few for every VM of the fleet to hold its own, or where so many VMs
-// would overfill the target's queue. The others send their statements through
-// them.
+// Package gateways decides which VMs hold the connections to a target if there are too few for
+// every VM of the fleet to hold its own, or if the fleet is so large that its VMs would overfill
+// the target's queue. These VMs are the target's gateways; the others send their statements
+// through them.
 //
-// Each VM computes the same answer from the fleet's list, without a word to the
-// others: candidates are drawn by weighted rendezvous hashing, so that a VM
-// that joins or goes moves only its own targets, and a larger VM carries more of
-// them. VMs whose lists differ for a moment do no harm: a gateway serves whoever
-// asks, and a target that has no connection left says so.
+// An Assignment holds the result for one state of the catalog: a VM's Share of the connections
+// to a target, and the Route to the target's gateways. Opening connections and forwarding
+// statements are left to packages lane and relay.
 //
-// The package is pure.
+// Each VM computes the same result from the fleet's list, without messages to the others:
+// gateways are selected by weighted rendezvous hashing, so that a VM that joins or leaves moves
+// only its own targets, and a larger VM is the gateway of more of them. VMs whose lists differ
+// temporarily do no harm: a gateway serves every VM that sends it a statement, and a target that
+// has no connection left refuses further ones.
+//
+// The package is pure: it does no I/O.
 package gateways
 
 import (
@@ -25,161 +29,161 @@
 )
 
 const (
-	// spareShare is the part of a target's limit that is left for the fleet's own
-	// questions and orders, which open connections beyond all shares.
-	spareShare = 0.1
-	// crowdFrom is the fleet's size from which gateways are used however many
-	// connections a target takes. A target's own queue is short and first come first
-	// served; from there on one statement of each VM fills it, whoever comes next is
-	// refused, and which statement is served in time is chance.
-	crowdFrom = 24
-	// perTarget is how many gateways a target has. Their queues are where requests
-	// are ordered by when they are due, which one queue does best; a second one
-	// goes on when the first is lost. More of them fill the target's own queue, which
-	// is first come first served.
-	perTarget = 2
-	// leastKept is how many connections a gateway should have at least, so that
-	// one that is held by a transaction does not block all that wait there.
-	leastKept = 4
-	// spareRunning is how many statements more than a target has slots a gateway
-	// sends at once: one is on its way while another is being run.
-	spareRunning = 1
-	// generations is how many fleets' idle connections a target's limit has room for
-	// where each VM holds its own: the present one's, and its successors'.
+	// reservedFraction is the fraction of a target's limit that is reserved for the fleet's own
+	// status queries and commands, which open connections in addition to all shares.
+	reservedFraction = 0.1
+	// minFleetForGateways is the fleet's size from which gateways are used however many
+	// connections a target accepts. A target's own queue is short and first come, first
+	// served. In a fleet of this size, one statement from each VM fills it: the target refuses
+	// further ones, and which statements are served in time is left to chance.
+	minFleetForGateways = 24
+	// gatewaysPerTarget is the number of gateways of a target. Requests are ordered by due time
+	// in the gateways' queues, and a single queue orders them best. A second gateway continues
+	// if the first fails. More gateways would fill the target's own queue, which is first come,
+	// first served.
+	gatewaysPerTarget = 2
+	// minConnectionsPerGateway keeps a connection that is held by a transaction from blocking
+	// all requests that wait at the gateway.
+	minConnectionsPerGateway = 4
+	// extraRunning is the number of statements that a gateway sends at once in addition to the
+	// target's slots: one is in transit while others run.
+	extraRunning = 1
+	// fleetGenerations is the number of fleets whose idle connections fit into a target's limit:
+	// the current fleet and the one that replaces it.
 	//
-	// Failure guarded against: all VMs lose power at once and start again within a
-	// second. Their targets hold the dead VMs' connections open for seconds more, and
-	// refuse the new ones.
-	generations = 2
-	// perSlot is how many statements for each of a target's slots a fleet sends it at
-	// once where each VM holds its own connections: one runs, one is next, one is on
-	// its way. The rest wait at the VMs, by how urgent they are; the target's own
-	// queue is first come first served, and one full of statements that will be late
-	// makes all that come late as well. Lanes with such a bound also tell late requests
-	// from others, and refuse hopeless ones.
-	perSlot = 3
-	// usualWeight is that of a VM whose entry does not tell its size.
-	usualWeight = 1
+	// Failure guarded against: all VMs lose power at once and restart within a second. Their
+	// targets hold the dead VMs' connections open for some more seconds, and refuse the new
+	// ones.
+	fleetGenerations = 2
+	// statementsPerSlot is the number of statements for each of a target's slots that a fleet
+	// sends at once if each VM holds its own connections: one runs, one is next, one is in
+	// transit. The others wait at the VMs, ordered by queue priority. The target's own queue is
+	// first come, first served: once it is full of statements that will be late, later ones are
+	// late as well. Lanes with this bound also distinguish late requests from others, and refuse
+	// those that cannot be served in time.
+	statementsPerSlot = 3
+	// defaultWeight is the weight of a VM whose entry has no capacity.
+	defaultWeight = 1
 )
 
-// Share is a VM's part of a target's connections.
+// Share is a VM's share of a target's connections.
 type Share struct {
-	// Kept is how many it may keep.
+	// MaxOpen is the number of connections that the VM may keep open.
 	Kept int
-	// Running is how many of them may run a statement at once; 0 is all, if the
-	// target's limit is not known.
+	// MaxRunning is the number of them that may run a statement at once. 0 means all: the
+	// target's limit is unknown.
 	Running int
-	// Idle is how many of them stay open while nothing runs on them.
+	// MaxIdle is the number of them that stay open while idle.
 	Idle int
-	// Lent is set if it may open one for a short time only.
+	// Temporary is set if the VM may open one connection only, and for a short time.
 	Lent bool
 }
 
-// Plan says who holds the connections to each target, by one state of the
-// catalog. It is safe for concurrent use.
+// Assignment is the mapping of targets to the VMs that hold the connections to them, for one
+// state of the catalog. It is safe for concurrent use.
 type Plan struct {
 	self    string
 	catalog *catalog.Catalog
-	// live is how many of the fleet's VMs answer.
-	live int
+	// responding is the number of the fleet's VMs that respond.
+	responding int
 
-	mu sync.Mutex
-	at map[target.ID]drawn
+	mu         sync.Mutex
+	selections map[target.ID]selection
 }
 
-// drawn is what was drawn for a target, and what it depends on besides the fleet.
-type drawn struct {
+// selection holds the gateways selected for a target, and what they depend on besides the fleet.
+type selection struct {
 	zone  string
 	count int
 	vms   []catalog.VM
 }
 
-// NewPlan returns a VM's plan for a fleet whose VMs all answer.
+// NewAssignment returns a VM's assignment for a fleet whose VMs all respond.
 func NewPlan(self string, c *catalog.Catalog) *Plan {
-	return &Plan{self: self, catalog: c, live: len(c.VMs), at: make(map[target.ID]drawn)}
+	return &Plan{self: self, catalog: c, responding: len(c.VMs), selections: make(map[target.ID]selection)}
 }
 
-// Next returns the plan for a later state of the catalog, and for the number of VMs
-// that answer. What was drawn is drawn anew only if the fleet has changed, which it
-// does far less often than the configuration.
-func (p *Plan) Next(c *catalog.Catalog, live int) *Plan {
-	next := NewPlan(p.self, c)
-	next.live = live
-	if !slices.Equal(p.catalog.VMs, c.VMs) {
+// Next returns the assignment for a later state of the catalog and the number of VMs that
+// respond. Gateways are selected again only if the fleet has changed, which it does far less
+// often than the configuration.
+func (a *Plan) Next(c *catalog.Catalog, responding int) *Plan {
+	next := NewPlan(a.self, c)
+	next.responding = responding
+	if !slices.Equal(a.catalog.VMs, c.VMs) {
 		return next
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for id, d := range p.at {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for id, d := range a.selections {
 		if c.Targets[id] != nil {
-			next.at[id] = d
+			next.selections[id] = d
 		}
 	}
 	return next
 }
 
-// limit is how many connections a target takes from the fleet's requests; 0 if
-// it is not known.
-func (p *Plan) limit(t *catalog.Target) float64 {
-	s := p.catalog.Service(t.Service)
+// limit returns the number of connections that a target accepts for the fleet's requests; 0 if
+// it is unknown.
+func (a *Plan) limit(t *catalog.Target) float64 {
+	s := a.catalog.Service(t.Service)
 	if s == nil {
 		return 0
 	}
-	return float64(s.MaxConnections) * (1 - spareShare)
+	return float64(s.MaxConnections) * (1 - reservedFraction)
 }
 
-// shared reports whether the VMs go through gateways: if there is less than one
-// connection for each of them, or if they are too many for the target's queue.
-func (p *Plan) shared(t *catalog.Target) bool {
-	limit, vms := p.limit(t), len(p.catalog.VMs)
-	return limit > 0 && (limit < float64(vms) || vms >= crowdFrom)
+// usesGateways reports whether the VMs use gateways to a target: if there is less than one
+// connection for each VM, or if there are too many VMs for the target's queue.
+func (a *Plan) usesGateways(t *catalog.Target) bool {
+	limit, vms := a.limit(t), len(a.catalog.VMs)
+	return limit > 0 && (limit < float64(vms) || vms >= minFleetForGateways)
 }
 
-// Share is this VM's part of a target's connections.
-func (p *Plan) Share(t *catalog.Target) Share {
-	limit := p.limit(t)
+// Share returns this VM's share of a target's connections.
+func (a *Plan) Share(t *catalog.Target) Share {
+	limit := a.limit(t)
 	if limit == 0 {
 		return Share{Kept: 1, Idle: 1}
 	}
-	if !p.shared(t) {
-		kept := int(limit) / max(len(p.catalog.VMs), 1)
-		return Share{Kept: kept, Idle: max(kept/generations, 1), Running: p.running(t)}
+	if !a.usesGateways(t) {
+		kept := int(limit) / max(len(a.catalog.VMs), 1)
+		return Share{Kept: kept, Idle: max(kept/fleetGenerations, 1), Running: a.maxRunning(t)}
 	}
-	all := p.of(t)
-	if !holds(all, p.self) {
+	all := a.gateways(t)
+	if !containsVM(all, a.self) {
 		return Share{Lent: true}
 	}
-	kept, running := max(int(limit)/len(all), 1), t.Slots+spareRunning
-	return Share{Kept: kept, Idle: min(kept, max(kept/generations, running)), Running: running}
+	kept, running := max(int(limit)/len(all), 1), t.Slots+extraRunning
+	return Share{Kept: kept, Idle: min(kept, max(kept/fleetGenerations, running)), Running: running}
 }
 
-// running is this VM's part of what a fleet without gateways sends to a target at
-// once.
+// maxRunning returns this VM's share of the statements that a fleet without gateways sends to a
+// target at once.
 //
-// Failure guarded against: most VMs of the fleet are lost, and those that are left
-// go on to send their small parts: a third of the targets' slots would lie idle
-// while requests wait. So the parts are those of the VMs that answer. Of connections
-// each VM keeps its part of all: the lost ones' may be open still.
-func (p *Plan) running(t *catalog.Target) int {
-	live := max(p.live, 1)
-	return (perSlot*t.Slots + live - 1) / live
+// Failure guarded against: most VMs of the fleet fail, and the remaining ones still limit
+// themselves to their small shares, so that a third of the targets' slots are idle while
+// requests wait. Statements are therefore divided among the VMs that respond. Connections are
+// divided among all VMs, because those of the failed ones may still be open.
+func (a *Plan) maxRunning(t *catalog.Target) int {
+	responding := max(a.responding, 1)
+	return (statementsPerSlot*t.Slots + responding - 1) / responding
 }
 
-// Route returns the gateways to a target in the order in which this VM should
-// try them; none if it should connect by itself.
+// Route returns the gateways to a target in the order in which this VM should try them; none if
+// the VM should connect to the target itself.
 //
-// The requests of one workspace go to the same gateway from everywhere, as a connection
-// serves one workspace only: spread over the gateways they would need one at each.
-func (p *Plan) Route(t *catalog.Target, workspace string) []catalog.VM {
-	if !p.shared(t) {
+// All VMs send the requests of one workspace to the same gateway, because a connection serves
+// one workspace only: spread over the gateways, the requests would need a connection at each.
+func (a *Plan) Route(t *catalog.Target, workspace string) []catalog.VM {
+	if !a.usesGateways(t) {
 		return nil
 	}
-	all := p.of(t)
+	all := a.gateways(t)
 	if workspace != "" {
 		all = slices.Clone(all)
-		preferBy(workspace, all)
+		sortByPreference(workspace, all)
 	}
-	self := slices.IndexFunc(all, func(vm catalog.VM) bool { return vm.ID == p.self })
+	self := slices.IndexFunc(all, func(vm catalog.VM) bool { return vm.ID == a.self })
 	switch {
 	case self < 0:
 		return all
@@ -190,45 +194,46 @@
 	}
 }
 
-// preferBy orders gateways by a name, so that each comes first for as many names.
-func preferBy(name string, vms []catalog.VM) {
+// sortByPreference orders gateways by a hash of the name, so that each of them is the first one
+// for an equal fraction of all names.
+func sortByPreference(name string, vms []catalog.VM) {
 	slices.SortStableFunc(vms, func(a, b catalog.VM) int {
 		return cmp.Compare(preference(name, b.ID), preference(name, a.ID))
 	})
 }
 
-func holds(vms []catalog.VM, name string) bool {
-	return slices.ContainsFunc(vms, func(vm catalog.VM) bool { return vm.ID == name })
+func containsVM(vms []catalog.VM, id string) bool {
+	return slices.ContainsFunc(vms, func(vm catalog.VM) bool { return vm.ID == id })
 }
 
-// of returns a target's gateways, in this VM's order. It is computed once for
-// each target that is used: at thousands of VMs and targets, all of them would
-// take seconds after each change of the fleet.
-func (p *Plan) of(t *catalog.Target) []catalog.VM {
-	count := min(perTarget, max(int(p.limit(t))/leastKept, 1))
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if d, ok := p.at[t.ID]; ok && d.zone == t.Zone && d.count == count {
+// gateways returns a target's gateways, in this VM's order. They are computed when a target is
+// first used: with thousands of VMs and targets, computing all of them would take seconds after
+// each change of the fleet.
+func (a *Plan) gateways(t *catalog.Target) []catalog.VM {
+	count := min(gatewaysPerTarget, max(int(a.limit(t))/minConnectionsPerGateway, 1))
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if d, ok := a.selections[t.ID]; ok && d.zone == t.Zone && d.count == count {
 		return d.vms
 	}
-	vms := Choose(t, p.catalog.VMs, count)
-	preferBy(p.self, vms)
-	p.at[t.ID] = drawn{zone: t.Zone, count: count, vms: vms}
+	vms := Choose(t, a.catalog.VMs, count)
+	sortByPreference(a.self, vms)
+	a.selections[t.ID] = selection{zone: t.Zone, count: count, vms: vms}
 	return vms
 }
 
-// preference spreads names over a target's gateways.
+// preference is a hash that spreads names evenly over a target's gateways.
 func preference(name, gateway string) uint64 { return xxhash.Sum64String(name + "/" + gateway) }
 
-// Choose draws a number of gateways to a target, from its own availability zone
-// as far as that has VMs: a statement then crosses zones as often as if its VM
-// connected by itself, and whoever loses the zone has lost the target as well.
+// Choose selects count gateways to a target, from the target's own availability zone as far as
+// the zone has VMs: a statement then crosses zones as often as if its VM connected to the target
+// itself, and a VM that cannot reach the zone cannot reach the target either.
 func Choose(t *catalog.Target, vms []catalog.VM, count int) []catalog.VM {
-	best := make([]scored, 0, count+1)
+	best := make([]candidate, 0, count+1)
 	for i := range vms {
 		vm := &vms[i]
-		one := scored{vm: vm, near: vm.Zone == t.Zone, score: score(t.ID, vm)}
-		at, _ := slices.BinarySearchFunc(best, one, scored.compare)
+		one := candidate{vm: vm, sameZone: vm.Zone == t.Zone, score: score(t.ID, vm)}
+		at, _ := slices.BinarySearchFunc(best, one, candidate.compare)
 		if at < count {
 			best = slices.Insert(best, at, one)[:min(len(best)+1, count)]
 		}
@@ -240,16 +245,16 @@
 	return out
 }
 
-type scored struct {
-	vm    *catalog.VM
-	near  bool
-	score float64
+type candidate struct {
+	vm       *catalog.VM
+	sameZone bool
+	score    float64
 }
 
 // compare puts the better candidate first.
-func (a scored) compare(b scored) int {
-	if a.near != b.near {
-		if a.near {
+func (a candidate) compare(b candidate) int {
+	if a.sameZone != b.sameZone {
+		if a.sameZone {
 			return -1
 		}
 		return 1
@@ -257,12 +262,12 @@
 	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.vm.ID, b.vm.ID))
 }
 
-// score is that of weighted rendezvous hashing: the largest wins, and a VM wins
-// as often as its weight has part in all weights.
+// score returns the score of weighted rendezvous hashing: the largest one wins, and a VM's
+// fraction of wins is its fraction of the sum of all weights.
 func score(id target.ID, vm *catalog.VM) float64 {
 	weight := vm.Capacity
 	if weight <= 0 {
-		weight = usualWeight
+		weight = defaultWeight
 	}
 	h := xxhash.Sum64String(string(id) + "/" + vm.ID)
 	u := (float64(h>>11) + 0.5) / (1 << 53)
--- a/gateways/gateways_test.go
+++ b/gateways/gateways_test.go
@@ -20,9 +20,9 @@
 	return vms
 }
 
-func at(id string) *catalog.Target { return &catalog.Target{ID: target.ID(id), Zone: "a"} }
+func targetWithID(id string) *catalog.Target { return &catalog.Target{ID: target.ID(id), Zone: "a"} }
 
-func known(limit int, vms []catalog.VM) (*catalog.Catalog, *catalog.Target) {
+func catalogWithLimit(limit int, vms []catalog.VM) (*catalog.Catalog, *catalog.Target) {
 	h := catalog.NewHolder()
 	h.SetConfig(&catalog.Config{Version: 1, Services: map[string]*catalog.Service{"s": {Name: "s", MaxConnections: limit}}})
 	t := &catalog.Target{ID: "t", Service: "s", Zone: "b"}
@@ -33,23 +33,23 @@
 
 func TestEnoughConnectionsNeedNoGateway(t *testing.T) {
 	for _, x := range []struct{ limit, vms, kept, idle, running int }{{23, 9, 2, 1, 1}, {41, 7, 5, 2, 2}, {190, 23, 7, 3, 1}, {10, 9, 1, 1, 1}, {23, 2, 10, 5, 5}} {
-		c, to := known(x.limit, fleet(x.vms, "a", "b", "c"))
+		c, to := catalogWithLimit(x.limit, fleet(x.vms, "a", "b", "c"))
 		to.Slots = 3
 		p := NewPlan("vm03", c)
 		require.Empty(t, p.Route(to, ""))
 		require.Equal(t, Share{Kept: x.kept, Idle: x.idle, Running: x.running}, p.Share(to))
-		require.GreaterOrEqual(t, x.running*x.vms, 3*to.Slots, "no slot lies idle while statements wait")
+		require.GreaterOrEqual(t, x.running*x.vms, 3*to.Slots, "no slot is idle while statements wait")
 	}
-	c, to := known(23, fleet(59, "a", "b", "c"))
+	c, to := catalogWithLimit(23, fleet(59, "a", "b", "c"))
 	require.True(t, NewPlan("vm03", c).Share(to).Lent)
 }
 
-// 89 VMs before a target that takes 190 connections: each could have its own, but
-// the target's queue holds 24 statements. Were each VM to send when it likes, most
-// statements would be refused there, again and again, whatever their urgency.
+// Failure guarded against: 89 VMs use a target that accepts 190 connections, so that each could
+// have its own, but the target's queue holds 24 statements. If each VM sends independently, the
+// target refuses most statements repeatedly, whatever their queue priority.
 func TestManyVMsShareGatewaysThoughThereAreConnections(t *testing.T) {
 	vms := fleet(89, "a", "b", "c")
-	c, to := known(190, vms)
+	c, to := catalogWithLimit(190, vms)
 	to.Slots = 3
 	holders, running := 0, 0
 	for _, vm := range vms {
@@ -65,22 +65,22 @@
 	require.Equal(t, 2*(3+1), running, "the target's own queue stays nearly empty")
 }
 
-// 59 VMs before a target that takes 32 connections: without gateways each VM
-// would open one for a statement and close it for the next VM's, at 12 ms of the
-// target's time each, and consumers would wait until their time is over.
+// Failure guarded against: 59 VMs use a target that accepts 32 connections. Without gateways each
+// VM opens a connection for a statement and closes it for the next VM's, which costs the target
+// 12 ms each time, and consumers wait until their time-outs.
 func TestScarceConnectionsAreHeldByAFew(t *testing.T) {
 	vms := fleet(59, "a", "b", "c")
-	c, to := known(32, vms)
+	c, to := catalogWithLimit(32, vms)
 	kept, first := 0, map[string]int{}
 	for _, vm := range vms {
 		p := NewPlan(vm.ID, c)
 		share := p.Share(to)
 		kept += share.Kept
 		route := p.Route(to, "")
-		require.Equal(t, share.Lent, len(route) > 0, "a VM that holds none has a way to one that does")
+		require.Equal(t, share.Lent, len(route) > 0, "a VM without connections has a route to one that has some")
 		if share.Lent {
 			first[route[0].ID]++
-			require.Equal(t, "b", route[0].Zone, "it is near the target")
+			require.Equal(t, "b", route[0].Zone, "it is in the target's zone")
 			continue
 		}
 	}
@@ -89,29 +89,30 @@
 	require.Len(t, first, 2, "the VMs spread over the gateways")
 }
 
-// Seven of nine VMs are lost. The two that are left must be able to keep all slots of a
-// target busy, within the connections that are surely theirs.
-func TestFewVMsThatAreLeftUseAllSlots(t *testing.T) {
-	c, to := known(22, fleet(9, "a", "b", "c"))
+// Failure guarded against: seven of nine VMs fail, and the remaining two cannot keep all slots of
+// a target busy. They must do so within the connections that are guaranteed to be theirs.
+func TestRemainingVMsUseAllSlots(t *testing.T) {
+	c, to := catalogWithLimit(22, fleet(9, "a", "b", "c"))
 	to.Slots = 3
 	p := NewPlan("vm03", c)
 	require.Equal(t, 1, p.Share(to).Running)
 	few := p.Next(c, 2).Share(to)
 	require.GreaterOrEqual(t, 2*few.Running, to.Slots)
 	require.Equal(t, p.Share(to).Kept, few.Kept)
-	require.Equal(t, 9, p.Next(c, 0).Share(to).Running, "it alone is left")
+	require.Equal(t, 9, p.Next(c, 0).Share(to).Running, "it is the only one left")
 }
 
-// All gateways lose power at once. Their targets hold the dead connections for 3 s, and
-// refuse those of the next gateways if both together are more than they take.
+// Failure guarded against: all gateways lose power at once. Their targets hold the dead
+// connections open for 3 s, and refuse those of the next gateways if both together exceed the
+// targets' limit.
 func TestGatewaysLeaveRoomForTheirSuccessors(t *testing.T) {
 	for _, x := range []struct{ limit, slots, idle int }{{53, 5, 11}, {190, 3, 42}, {32, 3, 7}, {9, 3, 4}} {
-		c, to := known(x.limit, fleet(59, "a", "b", "c"))
+		c, to := catalogWithLimit(x.limit, fleet(59, "a", "b", "c"))
 		to.Slots = x.slots
 		for _, vm := range c.VMs {
 			if s := NewPlan(vm.ID, c).Share(to); !s.Lent {
 				require.Equal(t, x.idle, s.Idle)
-				require.GreaterOrEqual(t, s.Idle, min(s.Running, s.Kept), "what runs needs no new connection")
+				require.GreaterOrEqual(t, s.Idle, min(s.Running, s.Kept), "running statements need no new connections")
 			}
 		}
 	}
@@ -125,57 +126,56 @@
 	large := 0
 	const targets = 3000
 	for i := range targets {
-		if Choose(at(fmt.Sprint("t", i)), vms, 1)[0].Capacity == 0.8 {
+		if Choose(targetWithID(fmt.Sprint("t", i)), vms, 1)[0].Capacity == 0.8 {
 			large++
 		}
 	}
 	require.InDelta(t, 3*0.8/(3*0.8+27*0.2), float64(large)/targets, 0.03)
 }
 
-// A VM that goes leaves the other gateways where they are: were they all drawn
-// anew, every VM would close and open its connections at once, when the fleet is
-// short of them already.
-func TestAVMThatGoesMovesOnlyItsOwnTargets(t *testing.T) {
+// Failure guarded against: a VM is removed, all gateways are selected anew, and every VM closes
+// and opens its connections at once, when the fleet is short of them already.
+func TestRemovedVMMovesOnlyItsOwnTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := fleet(rapid.IntRange(4, 40).Draw(t, "vms"), "a")
 		count := rapid.IntRange(1, 3).Draw(t, "count")
-		id := at(rapid.String().Draw(t, "target"))
+		id := targetWithID(rapid.String().Draw(t, "target"))
 		before := Choose(id, vms, count)
-		gone := vms[rapid.IntRange(0, len(vms)-1).Draw(t, "gone")]
-		var rest []catalog.VM
+		removed := vms[rapid.IntRange(0, len(vms)-1).Draw(t, "removed")]
+		var remaining []catalog.VM
 		for _, vm := range vms {
-			if vm.ID != gone.ID {
-				rest = append(rest, vm)
+			if vm.ID != removed.ID {
+				remaining = append(remaining, vm)
 			}
 		}
-		after := Choose(id, rest, count)
+		after := Choose(id, remaining, count)
 		for _, vm := range before {
-			if vm.ID != gone.ID {
-				require.True(t, holds(after, vm.ID), "%s was moved", vm.ID)
+			if vm.ID != removed.ID {
+				require.True(t, containsVM(after, vm.ID), "%s was moved", vm.ID)
 			}
 		}
 	})
 }
 
-// All VMs must draw the same gateways, whichever order their lists have.
+// All VMs must select the same gateways, whatever the order of their lists.
 func TestTheOrderOfTheListDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := fleet(rapid.IntRange(1, 30).Draw(t, "vms"), "a", "b", "c")
 		mixed := rapid.Permutation(vms).Draw(t, "mixed")
-		require.ElementsMatch(t, Choose(at("t"), vms, 6), Choose(at("t"), mixed, 6))
+		require.ElementsMatch(t, Choose(targetWithID("t"), vms, 6), Choose(targetWithID("t"), mixed, 6))
 	})
 }
 
-// The gateways are the best of all VMs, however they are found.
+// Choose keeps only the best candidates as it goes; the result must be that of sorting all VMs.
 func TestChooseIsTheHeadOfTheWholeOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := fleet(rapid.IntRange(0, 30).Draw(t, "vms"), "a", "b", "c")
-		to, count := at(rapid.String().Draw(t, "target")), rapid.IntRange(1, 4).Draw(t, "count")
-		all := make([]scored, len(vms))
+		to, count := targetWithID(rapid.String().Draw(t, "target")), rapid.IntRange(1, 4).Draw(t, "count")
+		all := make([]candidate, len(vms))
 		for i := range vms {
-			all[i] = scored{vm: &vms[i], near: vms[i].Zone == to.Zone, score: score(to.ID, &vms[i])}
+			all[i] = candidate{vm: &vms[i], sameZone: vms[i].Zone == to.Zone, score: score(to.ID, &vms[i])}
 		}
-		slices.SortFunc(all, scored.compare)
+		slices.SortFunc(all, candidate.compare)
 		want := []catalog.VM{}
 		for _, one := range all[:min(count, len(all))] {
 			want = append(want, *one.vm)
@@ -184,20 +184,20 @@
 	})
 }
 
-// The operator changes a route every 13 seconds, and a VM joins or goes every
-// minute. What a VM has drawn holds until the fleet or the target's limit changes.
-func TestDrawnGatewaysOutliveAConfiguration(t *testing.T) {
-	c, to := known(32, fleet(59, "a", "b", "c"))
+// The operator changes a route every 13 seconds, and a VM joins or leaves every minute. A VM's
+// selection of gateways stays valid until the fleet or the target's limit changes.
+func TestSelectionsSurviveAConfigurationChange(t *testing.T) {
+	c, to := catalogWithLimit(32, fleet(59, "a", "b", "c"))
 	p := NewPlan("vm03", c)
-	first := p.of(to)
+	first := p.gateways(to)
 	same := *c
-	require.Equal(t, p.at, p.Next(&same, len(same.VMs)).at)
+	require.Equal(t, p.selections, p.Next(&same, len(same.VMs)).selections)
 
-	smaller, _ := known(4, fleet(59, "a", "b", "c"))
-	require.Len(t, p.Next(smaller, len(smaller.VMs)).of(to), 1, "the limit is another one")
-	fewer, _ := known(32, slices.DeleteFunc(slices.Clone(c.VMs), func(vm catalog.VM) bool { return vm.ID == first[0].ID }))
-	require.NotContains(t, p.Next(fewer, len(fewer.VMs)).of(to), first[0], "the fleet is another one")
+	smaller, _ := catalogWithLimit(4, fleet(59, "a", "b", "c"))
+	require.Len(t, p.Next(smaller, len(smaller.VMs)).gateways(to), 1, "the limit has changed")
+	fewer, _ := catalogWithLimit(32, slices.DeleteFunc(slices.Clone(c.VMs), func(vm catalog.VM) bool { return vm.ID == first[0].ID }))
+	require.NotContains(t, p.Next(fewer, len(fewer.VMs)).gateways(to), first[0], "the fleet has changed")
 	moved := *to
 	moved.Zone = "c"
-	require.Equal(t, "c", p.Next(&same, len(same.VMs)).of(&moved)[0].Zone, "the target is elsewhere")
+	require.Equal(t, "c", p.Next(&same, len(same.VMs)).gateways(&moved)[0].Zone, "the target has moved to another zone")
 }
