--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,12 +1,12 @@
-// Package dispatch runs statements at targets. The session engine decides what
-// is sent where and what an outcome means; a Runner carries it there and keeps
-// the accounts that every answer feeds: whether the target lives, and how far
-// its log has come.
+// Package dispatch runs statements at targets. A Runner sends them, and records
+// what each answer shows: whether the target responds, and the end of its log.
+// It does not choose targets, repeat statements or interpret outcomes; the session
+// engine does.
 //
 // Local is the Runner over this VM's own connections. Package relay has one
-// that leads through another VM, where connections are too few for each VM to
-// hold its own. An error says how much is known:
+// that sends statements through another VM, if connections are too few for each
+// VM to hold its own. The type of an error says whether the statement was sent:
 //
-//   - *lane.UnavailableError and *SetupError: the statement was not sent;
-//   - *LostError: it was sent, and no whole answer came.
+//   - *lane.UnavailableError and *SetupError: it was not sent;
+//   - *LostError: it was sent, and no complete answer was received.
 package dispatch
--- a/dispatch/hold.go
+++ b/dispatch/hold.go
@@ -11,18 +11,18 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// stalledComeBack is when a consumer should return whose write was not sent,
-// because the primary confirms none: about the time in which it is replaced.
-const stalledComeBack = 300 * time.Millisecond
+// stalledRetryAfter is the retry-after of a write that was not sent because the
+// primary confirms no writes: about the time in which the primary is replaced.
+const stalledRetryAfter = 300 * time.Millisecond
 
 var (
 	errStalled  = errors.New("the primary confirms no write")
 	errReplaced = errors.New("the primary is being replaced")
 )
 
-// awaitWrites waits while the primary confirms no write, until one of those that
-// are under way has ended. If that one was not confirmed either, what has waited
-// is refused: it has not run, and its consumer is not left in doubt.
+// awaitWrites waits while the primary confirms no writes, until one of the pending
+// writes has ended. If that one was not confirmed either, the waiting write is
+// refused: it has not run, and its consumer is not left in doubt.
 func (l *Local) awaitWrites(ctx context.Context, g *groups.Group, id target.ID, timeout time.Duration) error {
 	end := g.Health.Hold(id, l.Clock.Now())
 	if end == nil {
@@ -44,6 +44,6 @@
 		return &lane.UnavailableError{Target: id, Expired: true, Cause: errReplaced}
 	default:
 		g.Breaker.Failed(l.Clock.Now())
-		return &lane.UnavailableError{Target: id, ComeBack: stalledComeBack, Cause: errStalled}
+		return &lane.UnavailableError{Target: id, ComeBack: stalledRetryAfter, Cause: errStalled}
 	}
 }
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -11,9 +11,10 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// Claim says how urgently a connection is wanted, and how long it is waited for.
+// Claim is a request for a connection.
 type Claim struct {
 	Order lane.Order
+	// QueueTimeout bounds the wait for the connection.
 	Queue time.Duration
 }
 
@@ -21,23 +22,23 @@
 type Job struct {
 	Service   string
 	Statement *statement.Statement
-	// Prepared is what an Execute runs; nil for other statements.
+	// Prepared is the prepared statement that an Execute runs; nil for other statements.
 	Prepared *lane.Prepared
-	// Values are those of the session.
+	// Values are the session's values.
 	Values map[string]string
-	// After is the position that the target's log must hold.
+	// After is the position that the target's log must contain.
 	After timeline.Position
-	// Commits is set if success means that a write is kept: for a write alone,
-	// and for the commit of a transaction that wrote.
+	// Commits is set if success means that a write is committed: for a write outside of
+	// a transaction, and for the commit of a transaction that wrote.
 	Commits bool
-	// Answer is how long the answer is waited for, once the statement was sent.
+	// AnswerTimeout bounds the wait for the answer once the statement was sent.
 	Answer time.Duration
 }
 
-// Opening is how a transaction begins.
+// Opening holds the parameters of a transaction to open.
 type Opening struct {
 	Service string
-	// Values are those of the session.
+	// Values are the session's values.
 	Values map[string]string
 	Begin  lane.Begin
 }
@@ -45,9 +46,10 @@
 // Result is a target's answer.
 type Result struct {
 	Answer *statement.Answer
-	// Sent is a moment before the target got the statement.
+	// Sent is a time before the target received the statement.
 	Sent clock.Time
-	// Took is how long the target took.
+	// Took is the time that the target needed to answer, measured by the VM that
+	// is connected to it.
 	Took time.Duration
 }
 
@@ -55,48 +57,49 @@
 type Runner interface {
 	// Run runs one statement outside of a transaction.
 	Run(ctx context.Context, id target.ID, claim Claim, job *Job) (*Result, error)
-	// Open opens a transaction. It is nil if the target refused, as the answer
-	// then says.
+	// Open opens a transaction. If the target refused, the transaction is nil and
+	// the answer holds the refusal.
 	Open(ctx context.Context, id target.ID, claim Claim, o *Opening) (Transaction, *statement.Answer, error)
-	// Proves reports whether the answers of a target bring proofs of freshness along,
-	// so that none need be asked for before.
+	// ProvesFreshness reports whether a target's answers come with proofs of freshness,
+	// so that no proof has to be requested first.
 	Proves(id target.ID) bool
-	// Load is how much of this VM's work the way to a target has.
+	// Load returns this VM's load on the route to a target.
 	Load(id target.ID) lane.Load
 }
 
-// Transaction is one that is open at a target. It is for one goroutine.
+// Transaction is a transaction that is open at a target. It is not safe for
+// concurrent use.
 type Transaction interface {
-	// Target is where it is open.
+	// Target returns the target at which the transaction is open.
 	Target() target.ID
 	// Run runs a statement of the transaction, or its commit.
 	Run(ctx context.Context, o lane.Order, job *Job) (*Result, error)
 	// Release gives the connection back after the transaction has ended.
 	Release()
-	// Abandon rolls back without being waited for.
+	// Abandon starts a rollback and returns without waiting for it.
 	Abandon()
-	// Discard closes the connection, whose state is in doubt.
+	// Discard closes the connection, because its state is in doubt.
 	Discard()
 }
 
-// SetupError says that a target did not take a session's state, so that the
-// statement was not sent.
+// SetupError means that a session's state could not be set up at a target, so that
+// the statement was not sent.
 type SetupError struct{ Cause error }
 
-// Error states the cause.
+// Error describes the failure and its cause.
 func (e *SetupError) Error() string { return "set up the connection: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
 func (e *SetupError) Unwrap() error { return e.Cause }
 
-// LostError says that a statement was sent and its answer did not come.
+// LostError means that a statement was sent and its answer was not received.
 type LostError struct {
-	// Gateway is the VM that did not answer; empty if it was the target.
+	// Gateway is the VM that did not reply; empty if it was the target.
 	Gateway string
 	Cause   error
 }
 
-// Error states who did not answer.
+// Error says whether the gateway or the target did not reply, and the cause.
 func (e *LostError) Error() string {
 	if e.Gateway != "" {
 		return "no answer from gateway " + e.Gateway + ": " + e.Cause.Error()
--- a/dispatch/local.go
+++ b/dispatch/local.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// minAnswer is the least time that an answer is waited for.
-	minAnswer = time.Millisecond
-	// rollbackTimeout bounds what ends a transaction that its consumer has left.
+	// minAnswerTimeout is the lower bound of the timeout for an answer.
+	minAnswerTimeout = time.Millisecond
+	// rollbackTimeout bounds the rollback of a transaction that its consumer has abandoned.
 	rollbackTimeout = time.Second
 )
 
@@ -34,7 +34,7 @@
 // Load implements Runner.
 func (l *Local) Load(id target.ID) lane.Load { return l.Pool.Load(id) }
 
-// Proves implements Runner.
+// ProvesFreshness implements Runner.
 func (l *Local) Proves(target.ID) bool { return false }
 
 // Run implements Runner.
@@ -72,16 +72,16 @@
 	return c, err
 }
 
-// Silent reports whether an error of getting a connection shows that the target
-// did not answer: neither its own refusal, nor the end of a wait, nor a refusal
-// for want of time does.
+// Unresponsive reports whether an error of acquiring a connection shows that the
+// target did not respond. A refusal by the target does not show that, nor does a
+// timeout in the queue, nor a refusal of a request that could not be served in time.
 func Silent(err error) bool {
 	var u *lane.UnavailableError
 	return !errors.As(err, &u) || (!u.Expired && u.ComeBack == 0 && u.Code == statement.OK)
 }
 
-// run makes the connection fit the session, sends the statement and waits for
-// the whole answer.
+// run sets up the connection for the session, sends the statement and waits for
+// the complete answer.
 func (l *Local) run(ctx context.Context, g *groups.Group, c *lane.Conn, job *Job) (*Result, error) {
 	id := c.Target
 	name, _, err := c.Setup(job.Values, job.Prepared, nil)
@@ -111,39 +111,39 @@
 	} else {
 		c.Queue(job.Statement, job.After)
 	}
-	timeout := max(min(job.Answer, left(ctx, job.Answer)), minAnswer)
+	timeout := max(min(job.Answer, timeLeft(ctx, job.Answer)), minAnswerTimeout)
 	if err := c.Flush(timeout); err != nil {
 		return nil, err
 	}
 	return c.Receive(timeout)
 }
 
-// left is the time until the context's deadline; most if it has none.
-func left(ctx context.Context, most time.Duration) time.Duration {
+// timeLeft returns the time until the context's deadline, or limit if it has none.
+func timeLeft(ctx context.Context, limit time.Duration) time.Duration {
 	d, ok := ctx.Deadline()
 	if !ok {
-		return most
+		return limit
 	}
 	return time.Until(d)
 }
 
-// Note turns what an answer shows into evidence: where the target's log stands,
-// or that it does not lead.
-func Note(g *groups.Group, b leadership.Belief, id target.ID, r *Result) {
+// RecordAnswer records the evidence that an answer contains: the end of the target's
+// log, or that the target is not the primary.
+func Note(g *groups.Group, leader leadership.Belief, id target.ID, r *Result) {
 	switch r.Answer.Code {
 	case statement.ReadOnly:
 		g.Refused(id)
 	case statement.OK:
-		notePosition(g, b, id, r.Sent, r.Answer.Position)
+		recordPosition(g, leader, id, r.Sent, r.Answer.Position)
 	}
 }
 
-func notePosition(g *groups.Group, b leadership.Belief, id target.ID, sent clock.Time, p timeline.Position) {
+func recordPosition(g *groups.Group, leader leadership.Belief, id target.ID, sent clock.Time, p timeline.Position) {
 	switch {
-	case b.Primary == id && b.Term != 0:
+	case leader.Primary == id && leader.Term != 0:
 		g.Acknowledged.Told(p)
-		g.Freshness.Sample(b.Term, id, sent, p)
-	case b.Primary != id && g.Vouches(id):
+		g.Freshness.Sample(leader.Term, id, sent, p)
+	case leader.Primary != id && g.Vouches(id):
 		g.Freshness.Seen(id, p)
 	}
 }
--- a/dispatch/transaction.go
+++ b/dispatch/transaction.go
@@ -15,13 +15,13 @@
 	local  *Local
 	group  *groups.Group
 	conn   *lane.Conn
-	belief leadership.Belief
+	leader leadership.Belief
 }
 
 // Open implements Runner.
 func (l *Local) Open(ctx context.Context, id target.ID, claim Claim, o *Opening) (Transaction, *statement.Answer, error) {
 	g := l.Groups.Use(o.Service)
-	b := g.Leadership.Believed()
+	current := g.Leadership.Believed()
 	c, err := l.acquire(ctx, g, id, claim)
 	if err != nil {
 		return nil, nil, err
@@ -35,7 +35,7 @@
 	g.Health.Answered(id)
 	if a.Code == statement.OK && a.State == statement.InTransaction {
 		c.Rest()
-		return &localTransaction{local: l, group: g, conn: c, belief: b}, a, nil
+		return &localTransaction{local: l, group: g, conn: c, leader: current}, a, nil
 	}
 	if a.Code == statement.ReadOnly {
 		g.Refused(id)
@@ -54,11 +54,11 @@
 // Run implements Transaction.
 func (t *localTransaction) Run(ctx context.Context, o lane.Order, job *Job) (*Result, error) {
 	if job.Commits {
-		if err := t.local.awaitWrites(ctx, t.group, t.conn.Target, left(ctx, job.Answer)); err != nil {
+		if err := t.local.awaitWrites(ctx, t.group, t.conn.Target, timeLeft(ctx, job.Answer)); err != nil {
 			return nil, err
 		}
 	}
-	if err := t.conn.Resume(ctx, o, left(ctx, job.Answer)); err != nil {
+	if err := t.conn.Resume(ctx, o, timeLeft(ctx, job.Answer)); err != nil {
 		return nil, err
 	}
 	r, err := t.local.run(ctx, t.group, t.conn, job)
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	Note(t.group, t.belief, t.conn.Target, r)
+	Note(t.group, t.leader, t.conn.Target, r)
 	return r, nil
 }
 
@@ -79,7 +79,8 @@
 // Abandon implements Transaction.
 func (t *localTransaction) Abandon() { go rollBack(t.conn) }
 
-// rollBack ends what is open on a connection and gives it back.
+// rollBack rolls back the transaction that is open on a connection, and releases the
+// connection.
 func rollBack(c *lane.Conn) {
 	c.QueueRollback()
 	if err := c.Flush(rollbackTimeout); err != nil {
