--- a/gateways/gateways_test.go
+++ b/gateways/gateways_test.go
@@ -67,7 +67,7 @@
 
 // Failure guarded against: 59 VMs use a target that accepts 32 connections. Without gateways each
 // VM opens a connection for a statement and closes it for the next VM's, which costs the target
-// 12 ms each time, and consumers wait until their time-outs.
+// 12 ms each time, and consumers wait until their timeouts.
 func TestScarceConnectionsAreHeldByAFew(t *testing.T) {
 	vms := fleet(59, "a", "b", "c")
 	c, to := catalogWithLimit(32, vms)
