--- a/request/failure.go
+++ b/request/failure.go
@@ -1,27 +1,27 @@
 package request
 
-// Failure is why an attempt at a request ended without a whole answer.
+// Failure is the reason why an attempt ended without a complete answer.
 type Failure uint8
 
 // Failures of an attempt.
 const (
-	// FailureDeadline means that the caller's time ran out.
+	// FailureDeadline means that the caller's deadline passed.
 	FailureDeadline Failure = iota
 	// FailureNoServer means that no server will qualify before the deadline.
 	FailureNoServer
 	// FailureShed means that admission refused the request.
 	FailureShed
-	// FailureConnect means that no connection to the server could be had.
+	// FailureConnect means that no connection to the server could be acquired.
 	FailureConnect
 	// FailureLost means that the connection to the target broke.
 	FailureLost
 	// FailureFenced means that the server itself refused the write because it
-	// has promised a later term. The refusal proves that it did not run.
+	// has promised a later term. The refusal proves that the write did not run.
 	FailureFenced
 	// FailureSuperseded means that the commit cannot be acknowledged: the
 	// server is not the primary of the term that the request was sent under.
 	FailureSuperseded
-	// FailureUnacknowledged means that the gate found no proof in time.
+	// FailureUnacknowledged means that the gate had no proof in time.
 	FailureUnacknowledged
 	// FailureCanceled means that the caller withdrew the request.
 	FailureCanceled
@@ -40,8 +40,8 @@
 	return "invalid"
 }
 
-// final failures are never cured by another attempt.
-func (f Failure) final() bool {
+// isFinal reports whether another attempt cannot succeed after the failure.
+func (f Failure) isFinal() bool {
 	switch f {
 	case FailureDeadline, FailureNoServer, FailureShed, FailureCanceled:
 		return true
@@ -49,5 +49,5 @@
 	return false
 }
 
-// provesNotRun failures come from the target's own refusal.
+// provesNotRun reports whether the failure is the target's own refusal.
 func (f Failure) provesNotRun() bool { return f == FailureFenced }
--- a/request/machine.go
+++ b/request/machine.go
@@ -7,22 +7,23 @@
 	"endivemoor.example/endivemoor/outcome"
 )
 
-// Terms are what a request's kind and key say of it. They do not change.
+// Terms are the constant properties of a request, which its kind and key determine.
 type Terms struct {
-	// Idempotent requests may be repeated at any step.
+	// Idempotent is set if the request may be repeated at any step.
 	Idempotent bool
-	// Keyed requests carry a request key, which makes a repeat safe.
+	// Keyed is set if the request carries a request key, which makes a repeat safe.
 	Keyed bool
-	// Deadline is when the caller stops waiting.
+	// Deadline is the time at which the caller stops waiting.
 	Deadline clock.Time
 }
 
-// Budget allows or refuses one more attempt at the expense of a group.
+// Budget allows or refuses another attempt, and charges it to a group.
 type Budget interface {
 	TryRetry(now clock.Time) bool
 }
 
-// Machine follows one request. Its zero value is not usable: see New.
+// Machine is the state machine of one request. Use New to create one; the zero value
+// is not usable.
 type Machine struct {
 	terms     Terms
 	step      Step
@@ -31,10 +32,10 @@
 	forwarded bool
 }
 
-// New returns the machine of a request that was just received.
+// New returns the Machine of a request that was just received.
 func New(t Terms) *Machine { return &Machine{terms: t, attempts: 1} }
 
-// Step returns the last step passed by this attempt.
+// Step returns the last step of the current attempt.
 func (m *Machine) Step() Step { return m.step }
 
 // State returns the state of the request over all its attempts.
@@ -43,28 +44,28 @@
 // Attempts returns the number of attempts made, at least 1.
 func (m *Machine) Attempts() int { return m.attempts }
 
-// Pass records that the attempt went through a step. The state only moves
-// forward: a second attempt that is queued again does not make a request "not
-// run" that a first attempt may have run.
+// RecordStep records that the attempt passed a step. The state only moves forward:
+// if a first attempt may have run, a second one that is queued does not make the
+// request "not run".
 func (m *Machine) Pass(s Step) {
 	m.step = s
 	m.state = max(m.state, stateOf(s))
 }
 
-// Forwarded records that a byte of an answer went to the caller. From then on
-// the request is not repeated: the caller would see two answers spliced.
+// RecordForwarded records that a byte of an answer was forwarded to the caller. From
+// then on the request is not repeated: the caller would receive parts of two answers.
 func (m *Machine) Forwarded() { m.forwarded = true }
 
-// Refused records that a target refused the attempt by its own word, so that
-// this attempt did not run. Only the first attempt may take the request back
-// to queued; of an earlier attempt nothing was learned.
+// RecordRefused records that the target itself refused the attempt, so that this
+// attempt did not run. Only the refusal of the first attempt returns the request to
+// the state queued: the refusal of a later one says nothing about the earlier ones.
 func (m *Machine) Refused() {
 	if m.attempts == 1 && m.state == Sent {
 		m.state = Queued
 	}
 }
 
-// Outcome says what is known of a request that is given up on now.
+// Outcome returns what is known about the request if no further attempt is made.
 func (m *Machine) Outcome() outcome.Outcome {
 	switch m.state {
 	case Queued:
@@ -76,20 +77,20 @@
 	}
 }
 
-// Verdict is what follows from a failure.
+// FailureResult is the result of a failed attempt.
 type Verdict struct {
-	// Retry says that the proxy makes another attempt.
+	// Retry is set if the proxy makes another attempt.
 	Retry bool
-	// Outcome is what the caller is told if it does not.
+	// Outcome is the outcome that is returned to the caller if no other attempt is made.
 	Outcome outcome.Outcome
-	// Why explains a refused retry, for the record.
+	// Reason explains why Retry is set or not; it is written to the request's record.
 	Why Reason
 }
 
-// Reason says why an attempt was or was not followed by another.
+// Reason explains why a failed attempt is followed by another or not.
 type Reason string
 
-// Reasons of a Verdict.
+// Reasons of a FailureResult.
 const (
 	ReasonQueued     Reason = "no byte sent"
 	ReasonIdempotent Reason = "kind is idempotent"
@@ -101,21 +102,21 @@
 	ReasonBudget     Reason = "retry budget is spent"
 )
 
-// Fail decides what follows from a failed attempt. It draws on the budget only
-// when everything else allows a retry.
+// Fail records a failed attempt and decides whether it is retried. It takes a token
+// from the budget only if everything else allows a retry.
 func (m *Machine) Fail(f Failure, now clock.Time, b Budget) Verdict {
 	if f.provesNotRun() {
 		m.Refused()
 	}
-	v := Verdict{Outcome: m.Outcome()}
-	v.Retry, v.Why = m.mayRetry(f, now, b)
-	return v
+	result := Verdict{Outcome: m.Outcome()}
+	result.Retry, result.Why = m.mayRetry(f, now, b)
+	return result
 }
 
 func (m *Machine) mayRetry(f Failure, now clock.Time, b Budget) (bool, Reason) {
 	safe, why := m.repeatable()
 	switch {
-	case f.final():
+	case f.isFinal():
 		return false, ReasonFinal
 	case m.forwarded:
 		return false, ReasonForwarded
@@ -142,13 +143,13 @@
 	}
 }
 
-// Again starts another attempt.
+// StartAttempt starts another attempt.
 func (m *Machine) Again() {
 	m.attempts++
 	m.step = StepReceived
 }
 
-// Left returns the time to the deadline, never negative.
+// Left returns the time until the deadline; it is never negative.
 func (m *Machine) Left(now clock.Time) time.Duration {
 	return max(0, m.terms.Deadline.Sub(now))
 }
--- a/request/machine_test.go
+++ b/request/machine_test.go
@@ -11,9 +11,9 @@
 	"endivemoor.example/endivemoor/outcome"
 )
 
-type openBudget struct{ asked int }
+type unlimitedBudget struct{ calls int }
 
-func (b *openBudget) TryRetry(clock.Time) bool { b.asked++; return true }
+func (b *unlimitedBudget) TryRetry(clock.Time) bool { b.calls++; return true }
 
 type spentBudget struct{}
 
@@ -21,52 +21,52 @@
 
 var later = clock.Time(time.Second)
 
-// A purchase is sent and the connection breaks. The caller must not hear "not
-// run": the target may have committed before the cut.
+// Failure guarded against: a purchase is sent, the target commits it, the connection
+// breaks before the answer, and the caller receives "not run".
 func TestSentRequestIsNeverNotRun(t *testing.T) {
 	for _, s := range Steps {
 		m := New(Terms{Deadline: later})
 		m.Pass(s)
-		got := m.Fail(FailureLost, 0, &openBudget{}).Outcome
+		got := m.Fail(FailureLost, 0, &unlimitedBudget{}).Outcome
 		require.Equal(t, s < StepSent, got == outcome.NotRun, s.String())
 	}
 }
 
-// The first attempt of a payment was lost after it was sent. The second waits
-// for a connection when the deadline comes. It is queued, but the first one
-// may have run: the answer stays "unknown".
+// Failure guarded against: the connection breaks after the first attempt of a payment was
+// sent, and the deadline passes while the second attempt waits for a connection. The second
+// one is queued, but the first may have run, so that the outcome must stay "unknown".
 func TestQueuedRepeatDoesNotHideTheFirstAttempt(t *testing.T) {
 	m := New(Terms{Keyed: true, Deadline: later})
 	m.Pass(StepSent)
-	require.True(t, m.Fail(FailureLost, 0, &openBudget{}).Retry)
+	require.True(t, m.Fail(FailureLost, 0, &unlimitedBudget{}).Retry)
 	m.Again()
-	require.Equal(t, outcome.Unknown, m.Fail(FailureDeadline, later, &openBudget{}).Outcome)
-	require.Equal(t, outcome.Unknown, m.Fail(FailureFenced, 0, &openBudget{}).Outcome)
+	require.Equal(t, outcome.Unknown, m.Fail(FailureDeadline, later, &unlimitedBudget{}).Outcome)
+	require.Equal(t, outcome.Unknown, m.Fail(FailureFenced, 0, &unlimitedBudget{}).Outcome)
 }
 
-// A write reaches a fenced primary, which refuses it by its own word. The
-// refusal proves that nothing ran, so the proxy may send it to the new one.
+// A fenced primary itself refuses a write. The refusal proves that nothing ran, so that the
+// proxy may send the write to the new primary.
 func TestFencedRefusalMayBeRepeatedOnce(t *testing.T) {
 	m := New(Terms{Deadline: later})
 	m.Pass(StepSent)
-	v := m.Fail(FailureFenced, 0, &openBudget{})
-	require.True(t, v.Retry)
-	require.Equal(t, outcome.NotRun, v.Outcome)
+	result := m.Fail(FailureFenced, 0, &unlimitedBudget{})
+	require.True(t, result.Retry)
+	require.Equal(t, outcome.NotRun, result.Outcome)
 }
 
-func TestRetryNeedsBudgetTimeAndAnUntouchedCaller(t *testing.T) {
+func TestRetryNeedsBudgetTimeAndNothingForwarded(t *testing.T) {
 	m := New(Terms{Idempotent: true, Deadline: later})
 	m.Pass(StepSent)
 	require.Equal(t, ReasonBudget, m.Fail(FailureLost, 0, spentBudget{}).Why)
-	require.Equal(t, ReasonDeadline, m.Fail(FailureLost, later, &openBudget{}).Why)
+	require.Equal(t, ReasonDeadline, m.Fail(FailureLost, later, &unlimitedBudget{}).Why)
 	m.Forwarded()
-	b := &openBudget{}
+	b := &unlimitedBudget{}
 	require.Equal(t, ReasonForwarded, m.Fail(FailureLost, 0, b).Why)
-	require.Zero(t, b.asked, "a refused retry must not draw on the budget")
+	require.Zero(t, b.calls, "a refused retry must not draw on the budget")
 }
 
-// Whatever the order of steps and failures, a request that may not be repeated
-// is sent at most once more than a target has refused it.
+// In any order of steps and failures, a request that may not be repeated is sent at most once
+// more often than targets have refused it.
 func TestUnrepeatableIsSentOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(Terms{Deadline: later})
@@ -77,7 +77,7 @@
 			if m.Step() >= StepSent && f != FailureFenced {
 				unresolved++
 			}
-			if !m.Fail(f, 0, &openBudget{}).Retry {
+			if !m.Fail(f, 0, &unlimitedBudget{}).Retry {
 				return
 			}
 			require.Zero(t, unresolved)
--- a/request/step.go
+++ b/request/step.go
@@ -6,27 +6,27 @@
 
 // Steps of a request.
 const (
-	// StepReceived is when the whole request was read from the caller.
+	// StepReceived: the complete request was read from the caller.
 	StepReceived Step = iota
-	// StepRouted is when a server was chosen.
+	// StepRouted: a server was chosen.
 	StepRouted
-	// StepAdmitted is when a slot of the server was given.
+	// StepAdmitted: admission granted a slot of the server.
 	StepAdmitted
-	// StepConnected is when a connection of the pool is owned.
+	// StepConnected: a connection was acquired from the pool.
 	StepConnected
-	// StepSent is just before the first byte goes to the target.
+	// StepSent: the first byte is about to be sent to the target.
 	StepSent
-	// StepExecuted is when the target answered all statements; a keyed request
+	// StepExecuted: the target has answered all statements; a keyed request
 	// is not committed yet.
 	StepExecuted
-	// StepCommitSent is just before the first byte of a COMMIT of the proxy's
-	// own goes to the target; only keyed requests pass it.
+	// StepCommitSent: the first byte of the proxy's own COMMIT is about to be
+	// sent to the target; only keyed requests pass this step.
 	StepCommitSent
-	// StepCommitted is when the target reported the commit.
+	// StepCommitted: the target has reported the commit.
 	StepCommitted
-	// StepAcknowledged is when the gate found the write safe to acknowledge.
+	// StepAcknowledged: the gate has found the write safe to acknowledge.
 	StepAcknowledged
-	// StepReplied is when the answer was handed to the caller's socket.
+	// StepReplied: the answer was written to the caller's socket.
 	StepReplied
 )
 
@@ -49,15 +49,15 @@
 	return "invalid"
 }
 
-// State is what may be concluded from the last step.
+// State is the state of a request, as derived from its steps.
 type State uint8
 
 const (
-	// Queued means that no byte of the request has left for a target.
+	// Queued means that no byte of the request was sent to a target.
 	Queued State = iota
 	// Sent means that a target may have run it.
 	Sent
-	// Answered means that its whole answer is known.
+	// Answered means that its complete answer is known.
 	Answered
 )
 
