--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,10 +1,11 @@
-// Package retry bounds how often a request is tried again.
+// Package retry bounds how often and how soon a request is retried.
 //
-// Two rules keep a failure from feeding on itself. A Budget per group lets
-// retries be only a small share of the requests, so that an outage cannot
-// multiply the load on what is left. A Backoff spreads the remaining ones by
-// seeded jitter, so that requests that failed together do not come back
-// together. Both are pure: time and randomness are passed in.
+// Two types keep a failure from amplifying itself. A Budget per group limits
+// retries to a small fraction of the requests, so that an outage cannot
+// multiply the load on the remaining servers. A Backoff spreads the retries by seeded
+// jitter, so that requests that failed together are not repeated together. Both
+// are pure: time and randomness are passed in. Whether a request may be repeated
+// at all is decided in package request.
 package retry
 
 import (
@@ -15,17 +16,18 @@
 	"endivemoor.example/endivemoor/clock"
 )
 
-// unit is one retry, in the budget's fixed-point tokens.
-const unit = 1000
+// tokensPerRetry is the price of a retry. Tokens are fixed-point numbers, so that a
+// request can earn a fraction of a retry.
+const tokensPerRetry = 1000
 
-// Config sets a Budget. The zero value takes the defaults.
+// Config holds the parameters of a Budget. The zero value selects the defaults.
 type Config struct {
-	// Ratio is the share of retries among requests, below 1; default 0.08.
+	// Ratio is the ratio of retries to requests, below 1; default 0.08.
 	Ratio float64
-	// Burst is how many retries may be saved up; default 10.
+	// Burst is the maximum number of retries that can be saved up; default 10.
 	Burst int
-	// Idle is how often a retry is earned without any request, so that a group
-	// with little traffic is not left without; default 10 s.
+	// IdleInterval is the interval at which a retry is earned without any request, so
+	// that a group with little traffic has retries as well; default 10 s.
 	Idle time.Duration
 }
 
@@ -42,28 +44,28 @@
 	return c
 }
 
-// Budget is a token bucket that requests fill and retries drain. It is safe
-// for concurrent use and takes no lock.
+// Budget is a token bucket that requests fill and retries drain. It is lock-free and
+// safe for concurrent use.
 //
-// Failure guarded against: a retry storm. It shows as attempts growing while
-// answers do not, until the target does nothing but work that its callers have
-// given up on. With each request earning Ratio of a retry, attempts stay below
-// (1+Ratio) times the requests, plus Burst once and one for each Idle.
+// Failure guarded against: a retry storm, in which attempts increase while answers do
+// not, until the target works only on requests that their callers have given up on.
+// As each request earns Ratio of a retry, attempts stay below (1+Ratio) times the
+// requests, plus Burst once and one for each IdleInterval.
 type Budget struct {
-	earn   int64
-	limit  int64
-	idle   time.Duration
-	tokens atomic.Int64
-	gift   atomic.Int64 // clock.Time of the last retry earned by idling
+	earn          int64
+	limit         int64
+	idleInterval  time.Duration
+	tokens        atomic.Int64
+	lastIdleToken atomic.Int64 // clock.Time at which the last retry was earned without a request
 }
 
 // NewBudget returns a full budget.
 func NewBudget(c Config) *Budget {
 	c = c.withDefaults()
 	b := &Budget{
-		earn:  int64(c.Ratio * unit),
-		limit: int64(c.Burst) * unit,
-		idle:  c.Idle,
+		earn:         int64(c.Ratio * tokensPerRetry),
+		limit:        int64(c.Burst) * tokensPerRetry,
+		idleInterval: c.Idle,
 	}
 	b.tokens.Store(b.limit)
 	return b
@@ -75,15 +77,15 @@
 	b.addIdle(now)
 }
 
-// TryRetry reports whether a request may be tried again, and spends the token.
+// TryRetry reports whether a request may be retried. If so, it spends the tokens.
 func (b *Budget) TryRetry(now clock.Time) bool {
 	b.addIdle(now)
 	for {
 		have := b.tokens.Load()
-		if have < unit {
+		if have < tokensPerRetry {
 			return false
 		}
-		if b.tokens.CompareAndSwap(have, have-unit) {
+		if b.tokens.CompareAndSwap(have, have-tokensPerRetry) {
 			return true
 		}
 	}
@@ -100,27 +102,28 @@
 }
 
 func (b *Budget) addIdle(now clock.Time) {
-	last := b.gift.Load()
-	if now.Sub(clock.Time(last)) < b.idle {
+	last := b.lastIdleToken.Load()
+	if now.Sub(clock.Time(last)) < b.idleInterval {
 		return
 	}
-	if b.gift.CompareAndSwap(last, int64(now)) {
-		b.add(unit)
+	if b.lastIdleToken.CompareAndSwap(last, int64(now)) {
+		b.add(tokensPerRetry)
 	}
 }
 
-// Backoff gives the delay before each attempt: exponential growth from Base to
-// Max, with full jitter.
+// Backoff computes the delay before each attempt. The delay grows exponentially from
+// Base to Max, and up to half of it is jitter.
 type Backoff struct {
 	Base time.Duration
 	Max  time.Duration
 }
 
-// maxShift keeps the doubling within a duration.
+// maxShift keeps the doubled delay from overflowing a time.Duration.
 const maxShift = 20
 
-// Delay returns the wait before the given attempt, counted from 1: uniform
-// between half and all of the exponential step, so that it is never zero.
+// Delay returns the delay before the given attempt; the first attempt is 1. It is
+// uniformly distributed between half of the exponential step and all of it, so that
+// it is never zero.
 func (b Backoff) Delay(attempt int, rnd *rand.Rand) time.Duration {
 	shift := min(max(attempt-1, 0), maxShift)
 	step := min(b.Base<<shift, b.Max)
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -10,9 +10,9 @@
 	"endivemoor.example/endivemoor/clock"
 )
 
-// Every request of a minute fails and each caller's proxy would try it three
-// times: the target that comes back meets three times its load. The budget
-// keeps attempts under 1.1 times the requests.
+// Failure guarded against: all requests fail for a minute, the proxy tries each of them
+// three times, and the target meets three times its load when it recovers. The budget
+// keeps attempts below 1.1 times the requests.
 func TestAttemptsStayWithinTheRatioThroughAnOutage(t *testing.T) {
 	b := NewBudget(Config{})
 	requests, attempts := 0, 0
@@ -31,7 +31,7 @@
 	require.Greater(t, attempts, requests)
 }
 
-func TestQuietGroupEarnsARetryByIdling(t *testing.T) {
+func TestIdleGroupEarnsRetries(t *testing.T) {
 	b := NewBudget(Config{Burst: 1})
 	require.True(t, b.TryRetry(1))
 	require.False(t, b.TryRetry(2))
