--- a/daemon/reload_test.go
+++ b/daemon/reload_test.go
@@ -49,7 +49,7 @@
 	require.NoError(t, err)
 	d := &daemon{set: s, log: zap.NewNop(), level: zap.NewAtomicLevel()}
 	require.NoError(t, d.buildAuth())
-	token, err := d.tokens.Issue("app", session.Marks{}, time.Now())
+	token, err := d.tokens.Issue("app", session.Watermarks{}, time.Now())
 	require.NoError(t, err)
 
 	rotated := strings.Replace(goodSettings, "active = k1", "active = k2\nk2 = fedcba9876543210fedcba9876543210", 1)
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -13,9 +13,9 @@
 
 // Claim is a request for a connection.
 type Claim struct {
-	Order lane.AcquireOptions
+	Options lane.AcquireOptions
 	// QueueTimeout bounds the wait for the connection.
-	Queue time.Duration
+	QueueTimeout time.Duration
 }
 
 // Job is one statement for a target.
@@ -32,7 +32,7 @@
 	// a transaction, and for the commit of a transaction that wrote.
 	Commits bool
 	// AnswerTimeout bounds the wait for the answer once the statement was sent.
-	Answer time.Duration
+	AnswerTimeout time.Duration
 }
 
 // Opening holds the parameters of a transaction to open.
@@ -62,7 +62,7 @@
 	Open(ctx context.Context, id target.ID, claim Claim, o *Opening) (Transaction, *statement.Answer, error)
 	// ProvesFreshness reports whether a target's answers come with proofs of freshness,
 	// so that no proof has to be requested first.
-	Proves(id target.ID) bool
+	ProvesFreshness(id target.ID) bool
 	// Load returns this VM's load on the route to a target.
 	Load(id target.ID) lane.Load
 }
--- a/dispatch/local.go
+++ b/dispatch/local.go
@@ -35,13 +35,13 @@
 func (l *Local) Load(id target.ID) lane.Load { return l.Pool.Load(id) }
 
 // ProvesFreshness implements Runner.
-func (l *Local) Proves(target.ID) bool { return false }
+func (l *Local) ProvesFreshness(target.ID) bool { return false }
 
 // Run implements Runner.
 func (l *Local) Run(ctx context.Context, id target.ID, claim Claim, job *Job) (*Result, error) {
 	g := l.Groups.Use(job.Service)
 	if job.Commits {
-		if err := l.awaitWrites(ctx, g, id, claim.Queue); err != nil {
+		if err := l.awaitWrites(ctx, g, id, claim.QueueTimeout); err != nil {
 			return nil, err
 		}
 	}
@@ -54,7 +54,7 @@
 		c.Discard()
 		return nil, err
 	}
-	Note(g, g.Leadership.Current(), id, r)
+	RecordAnswer(g, g.Leadership.Current(), id, r)
 	if r.Answer.State != statement.Idle {
 		c.Discard()
 		r.Answer.State = statement.Idle
@@ -65,8 +65,8 @@
 }
 
 func (l *Local) acquire(ctx context.Context, g *groups.Group, id target.ID, claim Claim) (*lane.Conn, error) {
-	c, err := l.Pool.Acquire(ctx, id, claim.Order, claim.Queue)
-	if err != nil && Silent(err) {
+	c, err := l.Pool.Acquire(ctx, id, claim.Options, claim.QueueTimeout)
+	if err != nil && Unresponsive(err) {
 		g.Health.Failed(id, l.Clock.Now(), lane.Refused(err))
 	}
 	return c, err
@@ -75,7 +75,7 @@
 // Unresponsive reports whether an error of acquiring a connection shows that the
 // target did not respond. A refusal by the target does not show that, nor does a
 // timeout in the queue, nor a refusal of a request that could not be served in time.
-func Silent(err error) bool {
+func Unresponsive(err error) bool {
 	var u *lane.UnavailableError
 	return !errors.As(err, &u) || (!u.Expired && u.RetryAfter == 0 && u.Code == statement.OK)
 }
@@ -111,7 +111,7 @@
 	} else {
 		c.Queue(job.Statement, job.After)
 	}
-	timeout := max(min(job.Answer, timeLeft(ctx, job.Answer)), minAnswerTimeout)
+	timeout := max(min(job.AnswerTimeout, timeLeft(ctx, job.AnswerTimeout)), minAnswerTimeout)
 	if err := c.Flush(timeout); err != nil {
 		return nil, err
 	}
@@ -129,7 +129,7 @@
 
 // RecordAnswer records the evidence that an answer contains: the end of the target's
 // log, or that the target is not the primary.
-func Note(g *groups.Group, leader leadership.State, id target.ID, r *Result) {
+func RecordAnswer(g *groups.Group, leader leadership.State, id target.ID, r *Result) {
 	switch r.Answer.Code {
 	case statement.ReadOnly:
 		g.Refused(id)
--- a/dispatch/transaction.go
+++ b/dispatch/transaction.go
@@ -54,11 +54,11 @@
 // Run implements Transaction.
 func (t *localTransaction) Run(ctx context.Context, o lane.AcquireOptions, job *Job) (*Result, error) {
 	if job.Commits {
-		if err := t.local.awaitWrites(ctx, t.group, t.conn.Target, timeLeft(ctx, job.Answer)); err != nil {
+		if err := t.local.awaitWrites(ctx, t.group, t.conn.Target, timeLeft(ctx, job.AnswerTimeout)); err != nil {
 			return nil, err
 		}
 	}
-	if err := t.conn.Unpark(ctx, o, timeLeft(ctx, job.Answer)); err != nil {
+	if err := t.conn.Unpark(ctx, o, timeLeft(ctx, job.AnswerTimeout)); err != nil {
 		return nil, err
 	}
 	r, err := t.local.run(ctx, t.group, t.conn, job)
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	Note(t.group, t.leader, t.conn.Target, r)
+	RecordAnswer(t.group, t.leader, t.conn.Target, r)
 	return r, nil
 }
 
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -287,7 +287,7 @@
 func (e *Edge) distributeCatalog(ctx context.Context) {
 	tick := time.NewTicker(liveCheckInterval)
 	defer tick.Stop()
-	assignment := gateways.NewPlan(e.settings.Node, e.catalog.Load())
+	assignment := gateways.NewAssignment(e.settings.Node, e.catalog.Load())
 	for {
 		changed := e.catalog.Changed()
 		c := e.catalog.Load()
--- a/edge/gateway_test.go
+++ b/edge/gateway_test.go
@@ -37,7 +37,7 @@
 	c := scarceCatalog(f)
 	to := &catalog.Target{ID: id, Service: service, Zone: zone}
 	for _, vm := range c.VMs {
-		if gateways.NewPlan(vm.ID, c).Share(to).Lent {
+		if gateways.NewAssignment(vm.ID, c).Share(to).Temporary {
 			others = append(others, vm.ID)
 		} else {
 			holders = append(holders, vm.ID)
@@ -48,7 +48,7 @@
 
 // firstGateway returns the gateway that a VM uses for the primary.
 func firstGateway(f *fleet, self string) string {
-	return gateways.NewPlan(self, scarceCatalog(f)).Route(&catalog.Target{ID: "ledger-0", Service: service, Zone: "a"}, "")[0].ID
+	return gateways.NewAssignment(self, scarceCatalog(f)).Route(&catalog.Target{ID: "ledger-0", Service: service, Zone: "a"}, "")[0].ID
 }
 
 // Guards against: VMs that are refused for lack of connections. Each target accepts nine
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -31,16 +31,16 @@
 // limits enforces the rate limits of workspaces and holds this VM's share of them.
 type limits struct {
 	edge       *Edge
-	assignment atomic.Pointer[ratelimit.Plan]
+	assignment atomic.Pointer[ratelimit.Assignment]
 
 	mu      sync.Mutex
-	buckets *ratelimit.Ledger
-	tokens  *ratelimit.Purse
+	buckets *ratelimit.Buckets
+	tokens  *ratelimit.TokenCache
 }
 
 func newLimits(e *Edge) *limits {
-	l := &limits{edge: e, buckets: ratelimit.NewLedger(e.settings.Bounds.LimitMargin), tokens: ratelimit.NewPurse()}
-	l.assignment.Store(ratelimit.NewPlan(e.settings.Node, nil, e.clk.Now()))
+	l := &limits{edge: e, buckets: ratelimit.NewBuckets(e.settings.Bounds.LimitMargin), tokens: ratelimit.NewTokenCache()}
+	l.assignment.Store(ratelimit.NewAssignment(e.settings.Node, nil, e.clk.Now()))
 	return l
 }
 
@@ -58,26 +58,26 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.buckets.Keep(c.Config.Workspaces)
-	l.tokens.Keep(c.Config.Workspaces)
+	l.buckets.Retain(c.Config.Workspaces)
+	l.tokens.Retain(c.Config.Workspaces)
 }
 
 // holdsAssignment reports whether the owners stay unchanged regardless of the fleet's list.
 func (l *limits) holdsAssignment() bool {
-	return l.edge.eras.startedWithin(ownersHoldTime) && !l.assignment.Load().IsOf(nil)
+	return l.edge.eras.startedWithin(ownersHoldTime) && !l.assignment.Load().Matches(nil)
 }
 
 // outdated reports whether the owners must be reassigned for the current fleet's list.
 func (l *limits) outdated(c *catalog.Catalog) bool {
-	return len(c.VMs) > 0 && !l.holdsAssignment() && !l.assignment.Load().IsOf(c.VMs)
+	return len(c.VMs) > 0 && !l.holdsAssignment() && !l.assignment.Load().Matches(c.VMs)
 }
 
 // Draw takes tokens from this VM's share of a workspace's limit.
 func (l *limits) Draw(workspace string, want int) (tokens int, retryAfter time.Duration) {
 	now := l.edge.clk.Now()
-	share := l.assignment.Load().Part(workspace, now)
+	share := l.assignment.Load().Share(workspace, now)
 	c := l.edge.catalog.Load().Config
-	if share.Of == 0 || c == nil || c.Workspaces[workspace] == nil || l.edge.shutdown.leaving.Load() {
+	if share.Owners == 0 || c == nil || c.Workspaces[workspace] == nil || l.edge.shutdown.leaving.Load() {
 		return 0, noOwnerRetryAfter
 	}
 	l.mu.Lock()
@@ -101,7 +101,7 @@
 	if !ok {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.tokens.Close(l.edge.clk.Now(), w.Name, retryAfter)
+		l.tokens.BackOff(l.edge.clk.Now(), w.Name, retryAfter)
 	}
 	return retryAfter, ok
 }
@@ -122,11 +122,11 @@
 	now := l.edge.clk.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tokens.Asked(now, workspace)
+	l.tokens.RecordOperation(now, workspace)
 	if l.tokens.Spend(now, workspace) {
 		return 0, 0
 	}
-	return l.tokens.Want(now, workspace), l.tokens.Closed(now, workspace)
+	return l.tokens.Want(now, workspace), l.tokens.BackoffRemaining(now, workspace)
 }
 
 // drawReply is an owner's reply.
--- a/engine/single.go
+++ b/engine/single.go
@@ -129,7 +129,7 @@
 			return s.giveUp(w, statement.Busy, "no primary")
 		}
 		var proof <-chan bool
-		if g.Health.Failing(leader.Primary) == 0 && !s.engine.cfg.Runner.Proves(leader.Primary) {
+		if g.Health.Failing(leader.Primary) == 0 && !s.engine.cfg.Runner.ProvesFreshness(leader.Primary) {
 			proof = s.prove(ctx, g, leader, w.arrived)
 		}
 		position := g.Freshness.LastPosition(leader.Term, leader.Primary)
--- a/engine/transaction.go
+++ b/engine/transaction.go
@@ -349,7 +349,7 @@
 // openAt opens the transaction at one target; false if that failed.
 func (s *Session) openAt(ctx context.Context, tx *transaction, w *work, id target.ID, after timeline.Position) bool {
 	w.tries++
-	claim := dispatch.Claim{Order: tx.acquireOptions(w), Queue: timeLeft(ctx)}
+	claim := dispatch.Claim{Options: tx.acquireOptions(w), QueueTimeout: timeLeft(ctx)}
 	opening := &dispatch.Opening{Service: tx.route.Service, Values: s.values, Begin: lane.Begin{ReadOnly: tx.readOnly, After: after}}
 	begun := s.engine.cfg.Clock.Now()
 	open, a, err := s.engine.cfg.Runner.Open(ctx, id, claim, opening)
--- a/engine/try.go
+++ b/engine/try.go
@@ -48,7 +48,7 @@
 // try sends a statement to one target and returns its answer.
 func (s *Session) try(ctx context.Context, id target.ID, w *work, after timeline.Position, bounds limits) (*statement.Answer, tryResult) {
 	w.tries++
-	claim := dispatch.Claim{Order: acquireOptions(w.route, w.caller.Name(), w.arrived), Queue: bounds.queue}
+	claim := dispatch.Claim{Options: acquireOptions(w.route, w.caller.Name(), w.arrived), QueueTimeout: bounds.queue}
 	begun := s.engine.cfg.Clock.Now()
 	r, err := s.engine.cfg.Runner.Run(ctx, id, claim, s.job(w, after, w.writes, bounds.answer))
 	s.recordPhases(w, begun, r, err)
@@ -77,7 +77,7 @@
 func (s *Session) job(w *work, after timeline.Position, commits bool, answer time.Duration) *dispatch.Job {
 	return &dispatch.Job{
 		Service: w.route.Service, Statement: w.st, Prepared: w.prepared, Values: s.values,
-		After: after, Commits: commits, Answer: answer,
+		After: after, Commits: commits, AnswerTimeout: answer,
 	}
 }
 
@@ -92,7 +92,7 @@
 			return saturated
 		}
 		w.saturated = 0
-		if dispatch.Silent(err) {
+		if dispatch.Unresponsive(err) {
 			e.cfg.Placing.Failed(id, e.cfg.Clock.Now())
 		}
 		return unsent
--- a/failover/machine_test.go
+++ b/failover/machine_test.go
@@ -158,7 +158,7 @@
 		Server: id, Role: target.RoleReplica, Term: m.group.Term, Promised: max(used, 1),
 		LSN: timeline.LSN(rapid.Uint64Range(0, 9).Draw(t, "lsn")),
 	}
-	refused := &target.FencedError{Server: id, Ordered: used, Promised: used + 1}
+	refused := &target.FencedError{Server: id, CommandTerm: used, Promised: used + 1}
 	events := []Event{
 		Tick{}, Tick{}, Tick{}, Tick{},
 		PeerReport{VM: "vm2", Zone: "b", Server: m.group.Primary, Asked: now - 1, Seen: true, LastGood: time.Second},
--- a/filter/acknowledge.go
+++ b/filter/acknowledge.go
@@ -30,12 +30,12 @@
 		return fail
 	}
 	if r.Committed && !a.Guards.Out(GuardGate) {
-		r.Machine.Pass(request.StepCommitted)
+		r.Machine.RecordStep(request.StepCommitted)
 		if fail := a.awaitGate(ctx, r); fail != nil {
 			return fail
 		}
 	}
-	r.Machine.Pass(request.StepAcknowledged)
+	r.Machine.RecordStep(request.StepAcknowledged)
 	return nil
 }
 
--- a/filter/admit.go
+++ b/filter/admit.go
@@ -20,6 +20,6 @@
 		return Refusal(err)
 	}
 	defer release()
-	r.Machine.Pass(request.StepAdmitted)
+	r.Machine.RecordStep(request.StepAdmitted)
 	return next(ctx, r)
 }
--- a/filter/bound.go
+++ b/filter/bound.go
@@ -17,12 +17,12 @@
 // Failure guarded against: the backlog of one service fills the proxy's memory and queues, and the
 // requests of every other service are late. The excess requests of that service are refused
 // instead, immediately and before anything is sent to a target.
-type Bounder struct {
+type QueueLimiter struct {
 	waiting sync.Map // profile name -> *atomic.Int64
 }
 
 // Handle counts the request while it is queued or in flight.
-func (b *Bounder) Handle(ctx context.Context, r *Request, next Handler) *Failure {
+func (b *QueueLimiter) Handle(ctx context.Context, r *Request, next Handler) *Failure {
 	p := r.Session.Profile
 	n := b.counter(p.Name)
 	defer n.Add(-1)
@@ -33,7 +33,7 @@
 	return next(ctx, r)
 }
 
-func (b *Bounder) counter(name string) *atomic.Int64 {
+func (b *QueueLimiter) counter(name string) *atomic.Int64 {
 	if n, ok := b.waiting.Load(name); ok {
 		return n.(*atomic.Int64)
 	}
--- a/filter/changes.go
+++ b/filter/changes.go
@@ -14,7 +14,7 @@
 // ViewChanges lets requests wait for a new view. One goroutine polls the holder for all waiting
 // requests, and runs only while there are any: for thousands of writes that wait for a promotion,
 // the cost is one poll in total and one wake-up each.
-type Changes struct {
+type ViewChanges struct {
 	views *view.Holder
 
 	mu      sync.Mutex
@@ -24,13 +24,13 @@
 }
 
 // NewViewChanges returns a ViewChanges that polls h.
-func NewChanges(h *view.Holder) *Changes {
-	return &Changes{views: h, changed: make(chan struct{})}
+func NewViewChanges(h *view.Holder) *ViewChanges {
+	return &ViewChanges{views: h, changed: make(chan struct{})}
 }
 
 // Wait returns nil when the view differs from old or after d, and the error of ctx if ctx ends
 // first.
-func (c *Changes) Wait(ctx context.Context, old *view.View, d time.Duration) error {
+func (c *ViewChanges) Wait(ctx context.Context, old *view.View, d time.Duration) error {
 	changed := c.subscribe(old)
 	if changed == nil {
 		return ctx.Err()
@@ -50,7 +50,7 @@
 
 // subscribe returns a channel that is closed at the next change, or nil if the view already differs
 // from old.
-func (c *Changes) subscribe(old *view.View) <-chan struct{} {
+func (c *ViewChanges) subscribe(old *view.View) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.views.Load() != old {
@@ -64,13 +64,13 @@
 	return c.changed
 }
 
-func (c *Changes) unsubscribe() {
+func (c *ViewChanges) unsubscribe() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.waiters--
 }
 
-func (c *Changes) pollUntilUnused() {
+func (c *ViewChanges) pollUntilUnused() {
 	tick := time.NewTicker(viewPollInterval)
 	defer tick.Stop()
 	for range tick.C {
@@ -82,7 +82,7 @@
 
 // poll wakes the waiting requests if the view has changed, and reports whether any request still
 // waits.
-func (c *Changes) poll() bool {
+func (c *ViewChanges) poll() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if v := c.views.Load(); v != c.seen {
--- a/filter/execute.go
+++ b/filter/execute.go
@@ -27,7 +27,7 @@
 	if fail != nil {
 		return fail
 	}
-	r.Machine.Pass(request.StepConnected)
+	r.Machine.RecordStep(request.StepConnected)
 	defer lease.Release()
 	defer e.Running.Enter(r, lease)()
 	return r.Work.Run(ctx, r, lease)
--- a/filter/floor.go
+++ b/filter/floor.go
@@ -30,7 +30,7 @@
 //
 // A write needs no floor: after the write, the gate proves that the primary was not superseded.
 func (f Floorer) Handle(ctx context.Context, r *Request, next Handler) *Failure {
-	r.Floor = session.FloorOf(r.Session.Marks, r.Group)
+	r.Floor = session.FloorOf(r.Session.Watermarks, r.Group)
 	if r.Floor.Source == session.SourcePrimary && r.IsRead() && r.Executes && !f.Guards.Out(GuardFloor) {
 		if fail := f.fetchFloor(ctx, r); fail != nil {
 			return fail
@@ -50,7 +50,7 @@
 				"the position of group %q cannot be learned now: %v", r.Group.Name, err),
 		}
 	}
-	r.Session.Marks.Raise(r.Group.Name, pos)
+	r.Session.Watermarks.Raise(r.Group.Name, pos)
 	r.Floor.Position = pos
 	return nil
 }
--- a/filter/record.go
+++ b/filter/record.go
@@ -63,7 +63,7 @@
 	})
 }
 
-func (rec *Record) fail(r *Request, f *Failure, v request.Verdict) {
+func (rec *Record) fail(r *Request, f *Failure, v request.FailureResult) {
 	if len(rec.Attempts) == 0 {
 		return
 	}
@@ -71,7 +71,7 @@
 	a.Step = r.Machine.Step().String()
 	a.Failure = f.Cause.String()
 	a.Error = f.Err.Message
-	a.Why = v.Why
+	a.Why = v.Reason
 	a.Retried = v.Retry
 }
 
--- a/filter/request.go
+++ b/filter/request.go
@@ -39,7 +39,7 @@
 	// retired, its last version stays in use until the session ends.
 	Profile *profile.Profile
 	// Watermarks are the session's watermarks.
-	Marks session.Marks
+	Watermarks session.Watermarks
 	// Dirty is set if a write raised the watermarks after the last token was sent.
 	Dirty bool
 }
@@ -135,7 +135,7 @@
 	// Missing is set if a lookup reached the primary and did not find the key.
 	Missing bool
 	// CallerDisconnected is set if no answer can be sent because the caller has disconnected.
-	Gone bool
+	CallerDisconnected bool
 }
 
 // Error returns the message for the caller.
--- a/filter/resolve.go
+++ b/filter/resolve.go
@@ -23,7 +23,7 @@
 // Requests that consist of one batch need no Resolver: the retrier repeats them under their key.
 type Resolver struct {
 	View    *view.Holder
-	Changes *Changes
+	Changes *ViewChanges
 	Budgets *Budgets
 	Lookup  Handler
 }
--- a/filter/retry.go
+++ b/filter/retry.go
@@ -21,7 +21,7 @@
 // Retrier repeats attempts where that is safe.
 type Retrier struct {
 	View    *view.Holder
-	Changes *Changes
+	Changes *ViewChanges
 	Budgets *Budgets
 	Sleep   Sleeper
 }
@@ -40,14 +40,14 @@
 			if f.awaitServer(ctx, r, fail) {
 				continue
 			}
-			return f.finalFailure(r, fail, request.Verdict{Outcome: r.Machine.Outcome(), Why: request.ReasonDeadline})
+			return f.finalFailure(r, fail, request.FailureResult{Outcome: r.Machine.Outcome(), Reason: request.ReasonDeadline})
 		}
 		v := r.Machine.Fail(fail.Cause, r.Clock.Now(), budget)
 		r.Record.fail(r, fail, v)
-		if !v.Retry || fail.Gone || fail.Fatal || !f.waitBeforeRetry(ctx, r, fail) {
+		if !v.Retry || fail.CallerDisconnected || fail.Fatal || !f.waitBeforeRetry(ctx, r, fail) {
 			return f.finalFailure(r, fail, v)
 		}
-		r.Machine.Again()
+		r.Machine.StartAttempt()
 	}
 }
 
@@ -115,7 +115,7 @@
 
 // finalFailure converts the failure into the answer to the caller. Its outcome is the one that the
 // machine derives from all attempts, not only from the last one.
-func (f Retrier) finalFailure(r *Request, fail *Failure, v request.Verdict) *Failure {
+func (f Retrier) finalFailure(r *Request, fail *Failure, v request.FailureResult) *Failure {
 	if v.Outcome == outcome.Unknown && fail.Err.Outcome == outcome.NotRun {
 		fail.Err = outcome.Lost(max(fail.Err.RetryAfter, unknownOutcomeRetryAfter), "the request may have run: %s", fail.Err.Message)
 	}
--- a/filter/retry_test.go
+++ b/filter/retry_test.go
@@ -28,7 +28,7 @@
 	b := &retryFixture{views: view.NewHolder()}
 	b.publish(1)
 	b.retrier = Retrier{
-		View: b.views, Changes: NewChanges(b.views), Budgets: NewBudgets(cfg, 1),
+		View: b.views, Changes: NewViewChanges(b.views), Budgets: NewBudgets(cfg, 1),
 		Sleep: func(context.Context, time.Duration) error { return nil },
 	}
 	return b
@@ -55,7 +55,7 @@
 // fail returns a next handler that passes step, fails n times and then succeeds.
 func (b *retryFixture) fail(step request.Step, f request.Failure, n int) Handler {
 	return func(_ context.Context, r *Request) *Failure {
-		r.Machine.Pass(step)
+		r.Machine.RecordStep(step)
 		if step >= request.StepSent {
 			b.sent++
 		}
@@ -98,7 +98,7 @@
 	next := func(_ context.Context, r *Request) *Failure {
 		n++
 		if n == 1 {
-			r.Machine.Pass(request.StepSent)
+			r.Machine.RecordStep(request.StepSent)
 			return &Failure{Cause: request.FailureLost, Err: outcome.Lost(0, "broken")}
 		}
 		return Refusal(outcome.Refuse(outcome.CodeOverloaded, time.Second, "shed"))
@@ -116,7 +116,7 @@
 	r := b.request(request.Terms{}, time.Hour)
 	var tries atomic.Int32
 	next := func(_ context.Context, r *Request) *Failure {
-		r.Machine.Pass(request.StepAdmitted)
+		r.Machine.RecordStep(request.StepAdmitted)
 		if tries.Add(1); r.Group.Term == 2 {
 			return nil
 		}
@@ -146,7 +146,7 @@
 
 func TestWaitersShareOnePoll(t *testing.T) {
 	b := newRetryFixture(retry.Config{})
-	c := NewChanges(b.views)
+	c := NewViewChanges(b.views)
 	old := b.views.Load()
 	done := make(chan error, 100)
 	for range cap(done) {
@@ -169,7 +169,7 @@
 	b := newRetryFixture(retry.Config{})
 	r := b.request(request.Terms{}, time.Hour)
 	r.Session.Profile.MaxQueued = 1
-	limiter := &Bounder{}
+	limiter := &QueueLimiter{}
 	fail := limiter.Handle(context.Background(), r, func(ctx context.Context, r *Request) *Failure {
 		return limiter.Handle(ctx, r, func(context.Context, *Request) *Failure { return nil })
 	})
--- a/filter/route.go
+++ b/filter/route.go
@@ -23,7 +23,7 @@
 type Router struct {
 	Chooser Chooser
 	View    *view.Holder
-	Changes *Changes
+	Changes *ViewChanges
 	Zone    string
 }
 
@@ -75,7 +75,7 @@
 	r.Server = d.Server
 	r.Term = r.Group.Term
 	r.Committed = false
-	r.Machine.Pass(request.StepRouted)
+	r.Machine.RecordStep(request.StepRouted)
 	r.Record.attempt(r)
 }
 
--- a/filter/watermark.go
+++ b/filter/watermark.go
@@ -9,7 +9,7 @@
 func (Watermarker) Handle(ctx context.Context, r *Request, next Handler) *Failure {
 	fail := next(ctx, r)
 	if fail == nil && r.Committed {
-		r.Session.Marks.Raise(r.Group.Name, r.Position)
+		r.Session.Watermarks.Raise(r.Group.Name, r.Position)
 		r.Session.Dirty = true
 	}
 	return fail
--- a/gateways/gateways.go
+++ b/gateways/gateways.go
@@ -69,19 +69,19 @@
 // Share is a VM's share of a target's connections.
 type Share struct {
 	// MaxOpen is the number of connections that the VM may keep open.
-	Kept int
+	MaxOpen int
 	// MaxRunning is the number of them that may run a statement at once. 0 means all: the
 	// target's limit is unknown.
-	Running int
+	MaxRunning int
 	// MaxIdle is the number of them that stay open while idle.
-	Idle int
+	MaxIdle int
 	// Temporary is set if the VM may open one connection only, and for a short time.
-	Lent bool
+	Temporary bool
 }
 
 // Assignment is the mapping of targets to the VMs that hold the connections to them, for one
 // state of the catalog. It is safe for concurrent use.
-type Plan struct {
+type Assignment struct {
 	self    string
 	catalog *catalog.Catalog
 	// responding is the number of the fleet's VMs that respond.
@@ -99,15 +99,15 @@
 }
 
 // NewAssignment returns a VM's assignment for a fleet whose VMs all respond.
-func NewPlan(self string, c *catalog.Catalog) *Plan {
-	return &Plan{self: self, catalog: c, responding: len(c.VMs), selections: make(map[target.ID]selection)}
+func NewAssignment(self string, c *catalog.Catalog) *Assignment {
+	return &Assignment{self: self, catalog: c, responding: len(c.VMs), selections: make(map[target.ID]selection)}
 }
 
 // Next returns the assignment for a later state of the catalog and the number of VMs that
 // respond. Gateways are selected again only if the fleet has changed, which it does far less
 // often than the configuration.
-func (a *Plan) Next(c *catalog.Catalog, responding int) *Plan {
-	next := NewPlan(a.self, c)
+func (a *Assignment) Next(c *catalog.Catalog, responding int) *Assignment {
+	next := NewAssignment(a.self, c)
 	next.responding = responding
 	if !slices.Equal(a.catalog.VMs, c.VMs) {
 		return next
@@ -124,7 +124,7 @@
 
 // limit returns the number of connections that a target accepts for the fleet's requests; 0 if
 // it is unknown.
-func (a *Plan) limit(t *catalog.Target) float64 {
+func (a *Assignment) limit(t *catalog.Target) float64 {
 	s := a.catalog.Service(t.Service)
 	if s == nil {
 		return 0
@@ -134,27 +134,27 @@
 
 // usesGateways reports whether the VMs use gateways to a target: if there is less than one
 // connection for each VM, or if there are too many VMs for the target's queue.
-func (a *Plan) usesGateways(t *catalog.Target) bool {
+func (a *Assignment) usesGateways(t *catalog.Target) bool {
 	limit, vms := a.limit(t), len(a.catalog.VMs)
 	return limit > 0 && (limit < float64(vms) || vms >= minFleetForGateways)
 }
 
 // Share returns this VM's share of a target's connections.
-func (a *Plan) Share(t *catalog.Target) Share {
+func (a *Assignment) Share(t *catalog.Target) Share {
 	limit := a.limit(t)
 	if limit == 0 {
-		return Share{Kept: 1, Idle: 1}
+		return Share{MaxOpen: 1, MaxIdle: 1}
 	}
 	if !a.usesGateways(t) {
 		kept := int(limit) / max(len(a.catalog.VMs), 1)
-		return Share{Kept: kept, Idle: max(kept/fleetGenerations, 1), Running: a.maxRunning(t)}
+		return Share{MaxOpen: kept, MaxIdle: max(kept/fleetGenerations, 1), MaxRunning: a.maxRunning(t)}
 	}
 	all := a.gateways(t)
 	if !containsVM(all, a.self) {
-		return Share{Lent: true}
+		return Share{Temporary: true}
 	}
 	kept, running := max(int(limit)/len(all), 1), t.Slots+extraRunning
-	return Share{Kept: kept, Idle: min(kept, max(kept/fleetGenerations, running)), Running: running}
+	return Share{MaxOpen: kept, MaxIdle: min(kept, max(kept/fleetGenerations, running)), MaxRunning: running}
 }
 
 // maxRunning returns this VM's share of the statements that a fleet without gateways sends to a
@@ -164,7 +164,7 @@
 // themselves to their small shares, so that a third of the targets' slots are idle while
 // requests wait. Statements are therefore divided among the VMs that respond. Connections are
 // divided among all VMs, because those of the failed ones may still be open.
-func (a *Plan) maxRunning(t *catalog.Target) int {
+func (a *Assignment) maxRunning(t *catalog.Target) int {
 	responding := max(a.responding, 1)
 	return (statementsPerSlot*t.Slots + responding - 1) / responding
 }
@@ -174,7 +174,7 @@
 //
 // All VMs send the requests of one workspace to the same gateway, because a connection serves
 // one workspace only: spread over the gateways, the requests would need a connection at each.
-func (a *Plan) Route(t *catalog.Target, workspace string) []catalog.VM {
+func (a *Assignment) Route(t *catalog.Target, workspace string) []catalog.VM {
 	if !a.usesGateways(t) {
 		return nil
 	}
@@ -209,7 +209,7 @@
 // gateways returns a target's gateways, in this VM's order. They are computed when a target is
 // first used: with thousands of VMs and targets, computing all of them would take seconds after
 // each change of the fleet.
-func (a *Plan) gateways(t *catalog.Target) []catalog.VM {
+func (a *Assignment) gateways(t *catalog.Target) []catalog.VM {
 	count := min(gatewaysPerTarget, max(int(a.limit(t))/minConnectionsPerGateway, 1))
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/gateways/gateways_test.go
+++ b/gateways/gateways_test.go
@@ -35,13 +35,13 @@
 	for _, x := range []struct{ limit, vms, kept, idle, running int }{{23, 9, 2, 1, 1}, {41, 7, 5, 2, 2}, {190, 23, 7, 3, 1}, {10, 9, 1, 1, 1}, {23, 2, 10, 5, 5}} {
 		c, to := catalogWithLimit(x.limit, fleet(x.vms, "a", "b", "c"))
 		to.Slots = 3
-		p := NewPlan("vm03", c)
+		p := NewAssignment("vm03", c)
 		require.Empty(t, p.Route(to, ""))
-		require.Equal(t, Share{Kept: x.kept, Idle: x.idle, Running: x.running}, p.Share(to))
+		require.Equal(t, Share{MaxOpen: x.kept, MaxIdle: x.idle, MaxRunning: x.running}, p.Share(to))
 		require.GreaterOrEqual(t, x.running*x.vms, 3*to.Slots, "no slot is idle while statements wait")
 	}
 	c, to := catalogWithLimit(23, fleet(59, "a", "b", "c"))
-	require.True(t, NewPlan("vm03", c).Share(to).Lent)
+	require.True(t, NewAssignment("vm03", c).Share(to).Temporary)
 }
 
 // Failure guarded against: 89 VMs use a target that accepts 190 connections, so that each could
@@ -53,12 +53,12 @@
 	to.Slots = 3
 	holders, running := 0, 0
 	for _, vm := range vms {
-		p := NewPlan(vm.ID, c)
+		p := NewAssignment(vm.ID, c)
 		share := p.Share(to)
-		require.Equal(t, share.Lent, len(p.Route(to, "")) > 0)
-		if !share.Lent {
+		require.Equal(t, share.Temporary, len(p.Route(to, "")) > 0)
+		if !share.Temporary {
 			holders++
-			running += share.Running
+			running += share.MaxRunning
 		}
 	}
 	require.Equal(t, 2, holders)
@@ -73,12 +73,12 @@
 	c, to := catalogWithLimit(32, vms)
 	kept, first := 0, map[string]int{}
 	for _, vm := range vms {
-		p := NewPlan(vm.ID, c)
+		p := NewAssignment(vm.ID, c)
 		share := p.Share(to)
-		kept += share.Kept
+		kept += share.MaxOpen
 		route := p.Route(to, "")
-		require.Equal(t, share.Lent, len(route) > 0, "a VM without connections has a route to one that has some")
-		if share.Lent {
+		require.Equal(t, share.Temporary, len(route) > 0, "a VM without connections has a route to one that has some")
+		if share.Temporary {
 			first[route[0].ID]++
 			require.Equal(t, "b", route[0].Zone, "it is in the target's zone")
 			continue
@@ -94,12 +94,12 @@
 func TestRemainingVMsUseAllSlots(t *testing.T) {
 	c, to := catalogWithLimit(22, fleet(9, "a", "b", "c"))
 	to.Slots = 3
-	p := NewPlan("vm03", c)
-	require.Equal(t, 1, p.Share(to).Running)
+	p := NewAssignment("vm03", c)
+	require.Equal(t, 1, p.Share(to).MaxRunning)
 	few := p.Next(c, 2).Share(to)
-	require.GreaterOrEqual(t, 2*few.Running, to.Slots)
-	require.Equal(t, p.Share(to).Kept, few.Kept)
-	require.Equal(t, 9, p.Next(c, 0).Share(to).Running, "it is the only one left")
+	require.GreaterOrEqual(t, 2*few.MaxRunning, to.Slots)
+	require.Equal(t, p.Share(to).MaxOpen, few.MaxOpen)
+	require.Equal(t, 9, p.Next(c, 0).Share(to).MaxRunning, "it is the only one left")
 }
 
 // Failure guarded against: all gateways lose power at once. Their targets hold the dead
@@ -110,9 +110,9 @@
 		c, to := catalogWithLimit(x.limit, fleet(59, "a", "b", "c"))
 		to.Slots = x.slots
 		for _, vm := range c.VMs {
-			if s := NewPlan(vm.ID, c).Share(to); !s.Lent {
-				require.Equal(t, x.idle, s.Idle)
-				require.GreaterOrEqual(t, s.Idle, min(s.Running, s.Kept), "running statements need no new connections")
+			if s := NewAssignment(vm.ID, c).Share(to); !s.Temporary {
+				require.Equal(t, x.idle, s.MaxIdle)
+				require.GreaterOrEqual(t, s.MaxIdle, min(s.MaxRunning, s.MaxOpen), "running statements need no new connections")
 			}
 		}
 	}
@@ -188,7 +188,7 @@
 // selection of gateways stays valid until the fleet or the target's limit changes.
 func TestSelectionsSurviveAConfigurationChange(t *testing.T) {
 	c, to := catalogWithLimit(32, fleet(59, "a", "b", "c"))
-	p := NewPlan("vm03", c)
+	p := NewAssignment("vm03", c)
 	first := p.gateways(to)
 	same := *c
 	require.Equal(t, p.selections, p.Next(&same, len(same.VMs)).selections)
--- a/internal/experiment/capacity/edge.go
+++ b/internal/experiment/capacity/edge.go
@@ -71,7 +71,7 @@
 }
 
 // edgePool is a pool that uses a node's part of the services.
-func edgePool(c *catalog.Catalog, plan *gateways.Plan) *lane.Pool {
+func edgePool(c *catalog.Catalog, plan *gateways.Assignment) *lane.Pool {
 	p := lane.NewPool(monotonic.New(), func(*catalog.Target) lane.Dialer { return nil })
 	p.Update(c, plan.Share)
 	for i := range groupsPerNode {
@@ -84,7 +84,7 @@
 
 func edgeConfigTime(n int) float64 {
 	c := edgeCatalog(n)
-	plan := gateways.NewPlan("vm-0001", c)
+	plan := gateways.NewAssignment("vm-0001", c)
 	p := edgePool(c, plan)
 	return nanoseconds(func() {
 		plan = plan.Next(c, len(c.VMs))
@@ -94,8 +94,8 @@
 
 func edgeFleetTime(n int) float64 {
 	c := edgeCatalog(n)
-	p := edgePool(c, gateways.NewPlan("vm-0001", c))
-	return nanoseconds(func() { p.Update(c, gateways.NewPlan("vm-0001", c).Share) })
+	p := edgePool(c, gateways.NewAssignment("vm-0001", c))
+	return nanoseconds(func() { p.Update(c, gateways.NewAssignment("vm-0001", c).Share) })
 }
 
 func edgeGroups(c *catalog.Catalog) *groups.Registry {
--- a/internal/experiment/capacity/roles.go
+++ b/internal/experiment/capacity/roles.go
@@ -122,8 +122,8 @@
 	})
 }
 
-func marks(n int) session.Marks {
-	m := session.Marks{}
+func marks(n int) session.Watermarks {
+	m := session.Watermarks{}
 	for i := range n {
 		m[fmt.Sprintf("group-%04d", i)] = timeline.Position{Term: 3, LSN: 1 << 40}
 	}
--- a/lane/lane.go
+++ b/lane/lane.go
@@ -288,8 +288,8 @@
 func (l *Lane) setShare(s gateways.Share) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.allowance, l.minOpen, l.lent, l.maxRunning = s.Kept, s.Idle, s.Lent, s.Running
-	l.waiting.detectsLate = s.Running > 0
+	l.allowance, l.minOpen, l.lent, l.maxRunning = s.MaxOpen, s.MaxIdle, s.Temporary, s.MaxRunning
+	l.waiting.detectsLate = s.MaxRunning > 0
 }
 
 // unused reports whether the lane has no connection and none was requested for unusedAfter. No
--- a/lane/lane_test.go
+++ b/lane/lane_test.go
@@ -132,7 +132,7 @@
 func inBubble(t *testing.T, limit, kept int, body func(l *Lane, d *dialer)) {
 	bubble.Test(t, func(t *testing.T) {
 		d := &dialer{limit: limit}
-		body(newLane("x", d.dial, monotonic.New(), gateways.Share{Kept: kept, Idle: kept, Lent: kept == 0}), d)
+		body(newLane("x", d.dial, monotonic.New(), gateways.Share{MaxOpen: kept, MaxIdle: kept, Temporary: kept == 0}), d)
 	})
 }
 
@@ -259,7 +259,7 @@
 		time.Sleep(2 * lentIdleTimeout)
 		l.maintain()
 		require.True(t, links[0].closed.Load())
-		l.setShare(gateways.Share{Kept: 1, Idle: 1})
+		l.setShare(gateways.Share{MaxOpen: 1, MaxIdle: 1})
 		acquire(t, l).Release()
 		time.Sleep(time.Minute)
 		l.maintain()
@@ -302,7 +302,7 @@
 }
 
 // oneEach is a share of one connection to every target.
-func oneEach(*catalog.Target) gateways.Share { return gateways.Share{Kept: 1, Idle: 1} }
+func oneEach(*catalog.Target) gateways.Share { return gateways.Share{MaxOpen: 1, MaxIdle: 1} }
 
 // A target is removed from the catalog. Its connections must be closed, those in use as soon as
 // they are released, and waiting requests must fail.
--- a/lane/overdue_test.go
+++ b/lane/overdue_test.go
@@ -18,7 +18,7 @@
 func TestOverdueStatementDoesNotBlockOthers(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := &dialer{limit: 5}
-		l := newLane("x", d.dial, monotonic.New(), gateways.Share{Kept: 2, Idle: 2, Running: 1})
+		l := newLane("x", d.dial, monotonic.New(), gateways.Share{MaxOpen: 2, MaxIdle: 2, MaxRunning: 1})
 		lost := acquire(t, l)
 		_, err := l.Acquire(context.Background(), AcquireOptions{}, minOverdue/2)
 		require.Error(t, err, "the first statement may still be answered")
@@ -42,7 +42,7 @@
 func TestParkedTimeIsNotOverdue(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := &dialer{limit: 5}
-		l := newLane("x", d.dial, monotonic.New(), gateways.Share{Kept: 2, Idle: 2, Running: 1})
+		l := newLane("x", d.dial, monotonic.New(), gateways.Share{MaxOpen: 2, MaxIdle: 2, MaxRunning: 1})
 		c := acquire(t, l)
 		c.Park()
 		time.Sleep(2 * minOverdue)
@@ -65,7 +65,7 @@
 func TestControlCommandsDoNotCountAsSlowStatements(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := &dialer{limit: 5}
-		l := newLane("x", d.dial, monotonic.New(), gateways.Share{Kept: 2, Idle: 2, Running: 1})
+		l := newLane("x", d.dial, monotonic.New(), gateways.Share{MaxOpen: 2, MaxIdle: 2, MaxRunning: 1})
 		acquire(t, l).Release()
 		time.Sleep(10 * time.Second)
 		c, err := l.control(context.Background(), time.Second)
--- a/lane/overload_test.go
+++ b/lane/overload_test.go
@@ -28,7 +28,7 @@
 		requests  = 400
 	)
 	inBubble(t, 1, 1, func(l *Lane, _ *dialer) {
-		l.setShare(gateways.Share{Kept: 1, Idle: 1, Running: 1})
+		l.setShare(gateways.Share{MaxOpen: 1, MaxIdle: 1, MaxRunning: 1})
 		var mu sync.Mutex
 		var wait sync.WaitGroup
 		for range requests {
@@ -88,7 +88,7 @@
 func TestRequestsBeyondTheSlotsWaitHere(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := &dialer{limit: 10}
-		l := newLane("x", d.dial, monotonic.New(), gateways.Share{Kept: 10, Idle: 10, Running: 4})
+		l := newLane("x", d.dial, monotonic.New(), gateways.Share{MaxOpen: 10, MaxIdle: 10, MaxRunning: 4})
 		var held []*Conn
 		for range 4 {
 			held = append(held, acquire(t, l))
@@ -175,7 +175,7 @@
 	const requests = 500
 	var purchased, purchases, read atomic.Int64
 	inBubble(t, 1, 1, func(l *Lane, _ *dialer) {
-		l.setShare(gateways.Share{Kept: 1, Idle: 1, Running: 1})
+		l.setShare(gateways.Share{MaxOpen: 1, MaxIdle: 1, MaxRunning: 1})
 		var wait sync.WaitGroup
 		for i := range requests {
 			o, work, served := AcquireOptions{Due: l.clk.Now().Add(500 * time.Millisecond), Priority: 2}, 30*time.Millisecond, &read
--- a/lane/pool_test.go
+++ b/lane/pool_test.go
@@ -38,7 +38,7 @@
 
 func poolOn(c *catalog.Catalog) *Pool {
 	p := NewPool(monotonic.New(), func(*catalog.Target) Dialer { return (&dialer{limit: 10}).dial })
-	p.Update(c, gateways.NewPlan("vm1", c).Share)
+	p.Update(c, gateways.NewAssignment("vm1", c).Share)
 	return p
 }
 
@@ -60,7 +60,7 @@
 		take(t, p, "s1-0").Release()
 		require.True(t, p.Load("nobody").Down)
 		require.Len(t, p.lanes, 1)
-		p.Update(&catalog.Catalog{}, gateways.NewPlan("vm1", c).Share)
+		p.Update(&catalog.Catalog{}, gateways.NewAssignment("vm1", c).Share)
 		require.Empty(t, p.lanes)
 		_, err := p.Acquire(context.Background(), "s1-0", AcquireOptions{}, time.Second)
 		require.Error(t, err, "the target was removed")
@@ -118,7 +118,7 @@
 			p := poolOn(c)
 			p.Lane("s1-0")
 			for b.Loop() {
-				p.Update(c, gateways.NewPlan("vm1", c).Share)
+				p.Update(c, gateways.NewAssignment("vm1", c).Share)
 			}
 		})
 	}
--- a/lane/restart_test.go
+++ b/lane/restart_test.go
@@ -40,7 +40,7 @@
 		vms = append(vms, catalog.VM{ID: string(rune('a' + i))})
 	}
 	h.SetFleet(vms, nil, 1)
-	return gateways.NewPlan("a", h.Load()).Share(to)
+	return gateways.NewAssignment("a", h.Load()).Share(to)
 }
 
 // drive sends statements over a lane for the given time. It returns how many were sent and how many
--- a/lane/workspace_test.go
+++ b/lane/workspace_test.go
@@ -40,7 +40,7 @@
 func TestIdleConnectionOfAnotherWorkspaceMakesRoom(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := &dialer{limit: 3}
-		l := newLane("x", d.dial, monotonic.New(), gateways.Share{Kept: 3, Idle: 3, Running: 2})
+		l := newLane("x", d.dial, monotonic.New(), gateways.Share{MaxOpen: 3, MaxIdle: 3, MaxRunning: 2})
 		for i := range 12 {
 			forWorkspace(t, l, fmt.Sprint("w", i), 100*time.Millisecond).Release()
 		}
@@ -53,7 +53,7 @@
 func TestBusyWorkspacesDoNotStarveOthers(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := &dialer{limit: 2}
-		l := newLane("x", d.dial, monotonic.New(), gateways.Share{Kept: 2, Idle: 2, Running: 2})
+		l := newLane("x", d.dial, monotonic.New(), gateways.Share{MaxOpen: 2, MaxIdle: 2, MaxRunning: 2})
 		var wait sync.WaitGroup
 		end := time.Now().Add(2 * time.Second)
 		for i := range 6 {
--- a/proxy/abort.go
+++ b/proxy/abort.go
@@ -30,13 +30,13 @@
 // callerReadFailed ends the transaction because no further statement can be read from the caller.
 // Its changes are rolled back with the connection, so the request did not run.
 func (u *unit) callerReadFailed(err error) *filter.Failure {
-	f := &filter.Failure{Cause: request.FailureCanceled, Fatal: true, Gone: errors.Is(err, errCallerDisconnected)}
+	f := &filter.Failure{Cause: request.FailureCanceled, Fatal: true, CallerDisconnected: errors.Is(err, errCallerDisconnected)}
 	var oerr *outcome.Error
 	if !errors.As(err, &oerr) {
 		oerr = refuse(outcome.CodeAdminShutdown, "the caller left")
 	}
 	f.Err = oerr
-	u.r.Machine.Refused()
+	u.r.Machine.RecordRefused()
 	return f
 }
 
@@ -44,7 +44,7 @@
 // certain that the target rolls back.
 func (u *unit) abort(oerr *outcome.Error) *filter.Failure {
 	u.lease.Abandon(abandonTimeout)
-	u.r.Machine.Refused()
+	u.r.Machine.RecordRefused()
 	return &filter.Failure{Cause: request.FailureShed, Err: oerr, Fatal: true}
 }
 
--- a/proxy/config.go
+++ b/proxy/config.go
@@ -29,8 +29,8 @@
 
 // Tokens signs and verifies session tokens.
 type Tokens interface {
-	Issue(user string, m session.Marks, now time.Time) (string, error)
-	Verify(token, user string, now time.Time) (session.Marks, error)
+	Issue(user string, m session.Watermarks, now time.Time) (string, error)
+	Verify(token, user string, now time.Time) (session.Watermarks, error)
 }
 
 // Users looks up SCRAM credentials.
--- a/proxy/input_test.go
+++ b/proxy/input_test.go
@@ -133,7 +133,7 @@
 	r := startProxy(t, cl)
 	otherKeys, err := session.NewKeys("k1", map[string][]byte{"k1": bytes.Repeat([]byte("f"), session.MinKeyBytes)})
 	require.NoError(t, err)
-	marks := session.Marks{"ledger": cl.primary().Status().Position()}
+	marks := session.Watermarks{"ledger": cl.primary().Status().Position()}
 	forged, err := otherKeys.Issue("app", marks, time.Now())
 	require.NoError(t, err)
 	foreign, err := cl.keys.Issue("other", marks, time.Now())
--- a/proxy/reply.go
+++ b/proxy/reply.go
@@ -41,7 +41,7 @@
 // the previous one: without a token its next session queries the primary, whereas the previous one
 // would allow a read from before the caller's write.
 func (s *caller) token() string {
-	token, err := s.srv.cfg.Tokens.Issue(s.state.User, s.state.Marks, time.Now())
+	token, err := s.srv.cfg.Tokens.Issue(s.state.User, s.state.Watermarks, time.Now())
 	if err != nil {
 		s.srv.cfg.Log.Warn("session_token_failed", zap.String("user", s.state.User), zap.Error(err))
 		return ""
@@ -63,7 +63,7 @@
 
 // replyFailure sends the error of a failed request. The buffered part of an answer is discarded.
 func (s *caller) replyFailure(w *work, f *filter.Failure) bool {
-	if f.Gone {
+	if f.CallerDisconnected {
 		return false
 	}
 	if f.Fatal {
--- a/proxy/server.go
+++ b/proxy/server.go
@@ -75,7 +75,7 @@
 	if s.cfg.Registerer != nil {
 		sinks = append(sinks, filter.NewMetrics(s.cfg.Registerer))
 	}
-	changes := filter.NewChanges(s.cfg.View)
+	changes := filter.NewViewChanges(s.cfg.View)
 	budgets := filter.NewBudgets(s.cfg.Retry, s.cfg.Seed)
 	router := filter.Router{Chooser: s.cfg.Router, View: s.cfg.View, Changes: changes, Zone: s.cfg.Zone}
 	lookup := filter.Chain(nil,
@@ -91,7 +91,7 @@
 		filter.Classifier{},
 		filter.KeyPolicy{},
 		filter.Timer{},
-		&filter.Bounder{},
+		&filter.QueueLimiter{},
 		filter.Floorer{Gate: s.cfg.Ack, Guards: s.cfg.Guards},
 		filter.Retrier{View: s.cfg.View, Changes: changes, Budgets: budgets, Sleep: filter.Sleep},
 		filter.Resolver{View: s.cfg.View, Changes: changes, Budgets: budgets, Lookup: lookup},
--- a/proxy/startup.go
+++ b/proxy/startup.go
@@ -165,7 +165,7 @@
 
 // restoreWatermark takes the session's watermark from the caller's token.
 func (s *caller) restoreWatermark(token string) *outcome.Error {
-	s.state.Marks = session.Marks{}
+	s.state.Watermarks = session.Watermarks{}
 	if token == "" {
 		return nil
 	}
@@ -173,7 +173,7 @@
 	if err != nil {
 		return refuse(outcome.CodeInvalidParameter, paramToken+": "+err.Error())
 	}
-	s.state.Marks = marks
+	s.state.Watermarks = marks
 	return nil
 }
 
--- a/proxy/unit.go
+++ b/proxy/unit.go
@@ -115,7 +115,7 @@
 // exchange passes step s, runs x within the deadline and reports the result to the tracker.
 func (u *unit) exchange(x *exchange, s request.Step) error {
 	r := u.r
-	r.Machine.Pass(s)
+	r.Machine.RecordStep(s)
 	start := r.Clock.Now()
 	until := time.Now().Add(r.Deadline.Sub(start))
 	u.s.answer.deadline = until
@@ -128,7 +128,7 @@
 	now := r.Clock.Now()
 	tracker.End(r.Server.ID, now, now.Sub(start), err != nil && !notTargetFailure(err))
 	if err == nil {
-		r.Machine.Pass(request.StepExecuted)
+		r.Machine.RecordStep(request.StepExecuted)
 	}
 	return err
 }
@@ -143,13 +143,13 @@
 // taken effect.
 func (u *unit) exchangeFailed(err error) *filter.Failure {
 	if u.s.answer.streamed {
-		u.r.Machine.Forwarded()
+		u.r.Machine.RecordForwarded()
 	}
 	u.lease.Abandon(abandonTimeout)
 	f := &filter.Failure{Cause: request.FailureLost, Fatal: u.open}
 	switch {
 	case errors.Is(err, errCallerDisconnected):
-		f.Gone = true
+		f.CallerDisconnected = true
 		f.Cause = request.FailureCanceled
 		f.Err = outcome.Lost(0, "the caller left")
 	case errors.Is(err, errCopy):
@@ -197,7 +197,7 @@
 	if u.committed {
 		return u.refuseChained()
 	}
-	u.r.Machine.Forwarded()
+	u.r.Machine.RecordForwarded()
 	if !u.forward(status) {
 		return u.exchangeFailed(errCallerDisconnected)
 	}
--- a/ratelimit/buckets.go
+++ b/ratelimit/buckets.go
@@ -20,7 +20,7 @@
 
 // Buckets holds the token buckets of the workspaces that this VM owns a share of. It is not
 // safe for concurrent use.
-type Ledger struct {
+type Buckets struct {
 	// Margin is the number of operations beyond the limit that the deployment tolerates
 	// in a window.
 	Margin  float64
@@ -36,14 +36,14 @@
 }
 
 // NewBuckets returns the Buckets of a VM that has just started.
-func NewLedger(margin float64) *Ledger {
-	return &Ledger{Margin: margin, buckets: make(map[string]*bucket)}
+func NewBuckets(margin float64) *Buckets {
+	return &Buckets{Margin: margin, buckets: make(map[string]*bucket)}
 }
 
 // Grant takes up to want tokens from the bucket of a share of a workspace's limit. If the
 // bucket is empty, it returns 0 and a retry-after.
-func (bs *Ledger) Grant(now clock.Time, w *catalog.Workspace, share Part, want int) (tokens int, retryAfter time.Duration) {
-	owners := float64(share.Of)
+func (bs *Buckets) Grant(now clock.Time, w *catalog.Workspace, share Share, want int) (tokens int, retryAfter time.Duration) {
+	owners := float64(share.Owners)
 	rate := w.Rate / owners
 	size := max((w.Burst+bs.Margin*startFraction)/owners, 1)
 	b := bs.buckets[w.Name]
@@ -78,7 +78,7 @@
 }
 
 // Retain drops the buckets of workspaces that are not in known.
-func (bs *Ledger) Keep(known map[string]*catalog.Workspace) {
+func (bs *Buckets) Retain(known map[string]*catalog.Workspace) {
 	for name := range bs.buckets {
 		if known[name] == nil {
 			delete(bs.buckets, name)
--- a/ratelimit/owners.go
+++ b/ratelimit/owners.go
@@ -24,28 +24,28 @@
 
 // Assignment is the mapping of workspaces to owners by one version of the fleet's list. It
 // is safe for concurrent use.
-type Plan struct {
+type Assignment struct {
 	self  string
 	vms   []catalog.VM
 	since clock.Time
 	// previous is the assignment that this one has replaced, while that is retained.
-	previous *Plan
+	previous *Assignment
 
 	mu     sync.Mutex
 	owners map[string][]catalog.VM
 }
 
 // NewAssignment returns a VM's assignment for a fleet's list that it has just received.
-func NewPlan(self string, vms []catalog.VM, now clock.Time) *Plan {
-	return &Plan{self: self, vms: vms, since: now, owners: make(map[string][]catalog.VM)}
+func NewAssignment(self string, vms []catalog.VM, now clock.Time) *Assignment {
+	return &Assignment{self: self, vms: vms, since: now, owners: make(map[string][]catalog.VM)}
 }
 
 // Next returns the assignment for a later version of the list. An empty list is ignored.
-func (a *Plan) Next(vms []catalog.VM, now clock.Time) *Plan {
-	if len(vms) == 0 || a.IsOf(vms) {
+func (a *Assignment) Next(vms []catalog.VM, now clock.Time) *Assignment {
+	if len(vms) == 0 || a.Matches(vms) {
 		return a
 	}
-	next := NewPlan(a.self, vms, now)
+	next := NewAssignment(a.self, vms, now)
 	if len(a.vms) > 0 {
 		next.previous = a
 		next.pruneHistory(now)
@@ -55,12 +55,12 @@
 
 // Matches reports whether the assignment was made from the list, or from one that results
 // in the same owners.
-func (a *Plan) IsOf(vms []catalog.VM) bool {
+func (a *Assignment) Matches(vms []catalog.VM) bool {
 	return slices.EqualFunc(a.vms, vms, func(x, y catalog.VM) bool { return x.ID == y.ID && x.Zone == y.Zone && x.Peer == y.Peer })
 }
 
 // pruneHistory drops the assignments that were replaced longer than historyRetention ago.
-func (a *Plan) pruneHistory(now clock.Time) {
+func (a *Assignment) pruneHistory(now clock.Time) {
 	for q := a; q != nil; q = q.previous {
 		if now.Sub(q.since) >= historyRetention {
 			q.previous = nil
@@ -69,7 +69,7 @@
 }
 
 // Owners returns the owners of a workspace.
-func (a *Plan) Owners(workspace string) []catalog.VM {
+func (a *Assignment) Owners(workspace string) []catalog.VM {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out, ok := a.owners[workspace]
@@ -81,23 +81,23 @@
 }
 
 // Share is a VM's share of a workspace's limit, which is divided equally among the owners.
-type Part struct {
+type Share struct {
 	// Owners is the number of owners of the workspace; 0 if the VM is not an owner, or does
 	// not act as one yet.
-	Of int
+	Owners int
 	// Since is a time since which the VM has been an owner.
 	Since clock.Time
 }
 
 // Share returns this VM's share of a workspace's limit.
-func (a *Plan) Part(workspace string, now clock.Time) Part {
-	out := Part{Of: len(a.Owners(workspace))}
+func (a *Assignment) Share(workspace string, now clock.Time) Share {
+	out := Share{Owners: len(a.Owners(workspace))}
 	q := a
 	for ; q != nil && q.owns(workspace); q = q.previous {
 		out.Since = q.since
 	}
 	if q == a || (q != nil && now.Sub(out.Since) < settlePeriod && a.displacesActiveOwner(q.Owners(workspace), workspace)) {
-		return Part{}
+		return Share{}
 	}
 	return out
 }
@@ -105,19 +105,19 @@
 // displacesActiveOwner reports whether one of the former owners of a workspace is still on
 // the list but no longer an owner: it goes on granting tokens until it has received the new
 // list. A VM that is no longer on the list stopped granting before its entry was removed.
-func (a *Plan) displacesActiveOwner(former []catalog.VM, workspace string) bool {
+func (a *Assignment) displacesActiveOwner(former []catalog.VM, workspace string) bool {
 	return slices.ContainsFunc(former, func(vm catalog.VM) bool {
 		is := func(other catalog.VM) bool { return other.ID == vm.ID }
 		return slices.ContainsFunc(a.vms, is) && !slices.ContainsFunc(a.Owners(workspace), is)
 	})
 }
 
-func (a *Plan) owns(workspace string) bool {
+func (a *Assignment) owns(workspace string) bool {
 	return slices.ContainsFunc(a.Owners(workspace), func(vm catalog.VM) bool { return vm.ID == a.self })
 }
 
 // Nearest returns the owners in the order in which a VM of a zone requests tokens from them.
-func (a *Plan) Nearest(workspace, zone string) []catalog.VM {
+func (a *Assignment) Nearest(workspace, zone string) []catalog.VM {
 	out := slices.Clone(a.Owners(workspace))
 	rank := func(vm catalog.VM) uint64 {
 		if vm.Zone == zone {
--- a/ratelimit/ratelimit_test.go
+++ b/ratelimit/ratelimit_test.go
@@ -45,9 +45,9 @@
 
 type vm struct {
 	catalog.VM
-	assignment *Plan
-	buckets    *Ledger
-	cache      *Purse
+	assignment *Assignment
+	buckets    *Buckets
+	cache      *TokenCache
 	down       bool
 	group      int // VMs of other groups are unreachable
 	frozen     clock.Time
@@ -70,9 +70,9 @@
 // start starts or restarts a VM's process.
 func (f *fleet) start(v *vm) {
 	v.down = false
-	v.assignment = NewPlan(v.ID, nil, f.now).Next(f.list, f.now)
+	v.assignment = NewAssignment(v.ID, nil, f.now).Next(f.list, f.now)
 	v.assignment.owners[workspace] = f.owners
-	v.buckets, v.cache = NewLedger(margin), NewPurse()
+	v.buckets, v.cache = NewBuckets(margin), NewTokenCache()
 }
 
 // relist changes the fleet's list. The VMs that receives accepts get the new list at once.
@@ -87,8 +87,8 @@
 }
 
 func (f *fleet) requestTokens(owner *vm, want int) (int, time.Duration) {
-	share := owner.assignment.Part(workspace, f.now)
-	if share.Of == 0 {
+	share := owner.assignment.Share(workspace, f.now)
+	if share.Owners == 0 {
 		return 0, 0
 	}
 	return owner.buckets.Grant(f.now, &f.w, share, want)
@@ -99,12 +99,12 @@
 	if v.down || f.now.Before(v.frozen) {
 		return false
 	}
-	v.cache.Asked(f.now, workspace)
+	v.cache.RecordOperation(f.now, workspace)
 	if v.cache.Spend(f.now, workspace) {
 		f.allowedAt = append(f.allowedAt, f.now)
 		return true
 	}
-	if v.cache.Closed(f.now, workspace) > 0 {
+	if v.cache.BackoffRemaining(f.now, workspace) > 0 {
 		return false
 	}
 	retryAfter := time.Second
@@ -121,7 +121,7 @@
 		}
 		retryAfter = min(retryAfter, after)
 	}
-	v.cache.Close(f.now, workspace, retryAfter)
+	v.cache.BackOff(f.now, workspace, retryAfter)
 	return false
 }
 
@@ -223,12 +223,12 @@
 	f.vms[joined.ID] = &vm{VM: joined}
 	f.start(f.vms[joined.ID])
 	f.relist(append(slices.Clone(f.list), joined), func(*vm) bool { return true })
-	require.Zero(t, f.vms[joined.ID].assignment.Part(workspace, f.now).Of)
+	require.Zero(t, f.vms[joined.ID].assignment.Share(workspace, f.now).Owners)
 	for _, e := range former {
-		require.Equal(t, contains(f.owners, e), f.vms[e.ID].assignment.Part(workspace, f.now).Of > 0, e.ID)
+		require.Equal(t, contains(f.owners, e), f.vms[e.ID].assignment.Share(workspace, f.now).Owners > 0, e.ID)
 	}
 	f.now = f.now.Add(settlePeriod)
-	require.Equal(t, ownersPerWorkspace, f.vms[joined.ID].assignment.Part(workspace, f.now).Of)
+	require.Equal(t, ownersPerWorkspace, f.vms[joined.ID].assignment.Share(workspace, f.now).Owners)
 }
 
 // Failure guarded against: VMs announce that they leave and are stopped one after another,
@@ -237,7 +237,7 @@
 	f := newFleet(30, limit(60))
 	f.leave(f.owners[0])
 	for _, e := range f.owners {
-		require.Equal(t, ownersPerWorkspace, f.vms[e.ID].assignment.Part(workspace, f.now).Of, e.ID)
+		require.Equal(t, ownersPerWorkspace, f.vms[e.ID].assignment.Share(workspace, f.now).Owners, e.ID)
 	}
 }
 
@@ -368,19 +368,19 @@
 // Failure guarded against: a VM becomes an owner again and uses a bucket that filled while
 // another VM was the owner.
 func TestAnOwnerThatReturnsHasNoOldBucket(t *testing.T) {
-	buckets, now, w := NewLedger(0), clock.Time(time.Hour), limit(3)
+	buckets, now, w := NewBuckets(0), clock.Time(time.Hour), limit(3)
 	w.Burst = 300
-	tokens, _ := buckets.Grant(now, &w, Part{Of: ownersPerWorkspace, Since: now}, 10)
+	tokens, _ := buckets.Grant(now, &w, Share{Owners: ownersPerWorkspace, Since: now}, 10)
 	require.Zero(t, tokens)
 	now = now.Add(20 * time.Second)
-	tokens, _ = buckets.Grant(now, &w, Part{Of: ownersPerWorkspace, Since: now.Add(-2 * time.Second)}, 10)
+	tokens, _ = buckets.Grant(now, &w, Share{Owners: ownersPerWorkspace, Since: now.Add(-2 * time.Second)}, 10)
 	require.Equal(t, 2, tokens)
 }
 
 // Failure guarded against: a VM saves up tokens, or has some from before it was suspended,
 // and spends them in addition to those of a later window.
 func TestTokensExpire(t *testing.T) {
-	cache, now := NewPurse(), clock.Time(time.Hour)
+	cache, now := NewTokenCache(), clock.Time(time.Hour)
 	cache.Put(workspace, now, 2)
 	require.True(t, cache.Spend(now.Add(tokenLifetime-1), workspace))
 	require.False(t, cache.Spend(now.Add(tokenLifetime), workspace))
--- a/ratelimit/tokencache.go
+++ b/ratelimit/tokencache.go
@@ -23,7 +23,7 @@
 
 // TokenCache holds the tokens that owners granted to this VM. It is not safe for concurrent
 // use.
-type Purse struct {
+type TokenCache struct {
 	entries map[string]*entry
 }
 
@@ -42,9 +42,9 @@
 }
 
 // NewTokenCache returns an empty TokenCache.
-func NewPurse() *Purse { return &Purse{entries: make(map[string]*entry)} }
+func NewTokenCache() *TokenCache { return &TokenCache{entries: make(map[string]*entry)} }
 
-func (c *Purse) entry(workspace string) *entry {
+func (c *TokenCache) entry(workspace string) *entry {
 	e := c.entries[workspace]
 	if e == nil {
 		e = &entry{}
@@ -54,7 +54,7 @@
 }
 
 // RecordOperation counts an operation of a workspace towards its demand.
-func (c *Purse) Asked(now clock.Time, workspace string) {
+func (c *TokenCache) RecordOperation(now clock.Time, workspace string) {
 	e := c.entry(workspace)
 	e.demand = e.demand*decay(now, e.demandAt) + 1/demandWindow.Seconds()
 	e.demandAt = now
@@ -68,7 +68,7 @@
 }
 
 // Spend takes a token. It returns false if there is no valid one.
-func (c *Purse) Spend(now clock.Time, workspace string) bool {
+func (c *TokenCache) Spend(now clock.Time, workspace string) bool {
 	e := c.entry(workspace)
 	for len(e.tokens) > 0 {
 		first := &e.tokens[0]
@@ -82,13 +82,13 @@
 }
 
 // Want returns how many tokens to request: as many as are needed before they expire.
-func (c *Purse) Want(now clock.Time, workspace string) int {
+func (c *TokenCache) Want(now clock.Time, workspace string) int {
 	e := c.entry(workspace)
 	return min(1+int(e.demand*decay(now, e.demandAt)*tokenLifetime.Seconds()), maxTokensPerRequest)
 }
 
 // Put adds tokens that were requested at the given time.
-func (c *Purse) Put(workspace string, asked clock.Time, tokens int) {
+func (c *TokenCache) Put(workspace string, asked clock.Time, tokens int) {
 	if tokens <= 0 {
 		return
 	}
@@ -98,24 +98,24 @@
 }
 
 // Return gives back a token that was not used. It expires with the oldest cached ones.
-func (c *Purse) Return(workspace string) {
+func (c *TokenCache) Return(workspace string) {
 	if e := c.entry(workspace); len(e.tokens) > 0 {
 		e.tokens[0].count++
 	}
 }
 
 // BackOff records that no owner has a token, and the retry-after that the owners returned.
-func (c *Purse) Close(now clock.Time, workspace string, retryAfter time.Duration) {
+func (c *TokenCache) BackOff(now clock.Time, workspace string, retryAfter time.Duration) {
 	c.entry(workspace).backoffUntil = now.Add(min(retryAfter, maxBackoff))
 }
 
 // BackoffRemaining returns for how long no tokens are to be requested; 0 if they may be.
-func (c *Purse) Closed(now clock.Time, workspace string) time.Duration {
+func (c *TokenCache) BackoffRemaining(now clock.Time, workspace string) time.Duration {
 	return max(c.entry(workspace).backoffUntil.Sub(now), 0)
 }
 
 // Retain drops the tokens of workspaces that are not in known.
-func (c *Purse) Keep(known map[string]*catalog.Workspace) {
+func (c *TokenCache) Retain(known map[string]*catalog.Workspace) {
 	for name := range c.entries {
 		if known[name] == nil {
 			delete(c.entries, name)
--- a/relay/control_test.go
+++ b/relay/control_test.go
@@ -34,7 +34,7 @@
 		VMs:     []catalog.VM{{ID: "gateway", Zone: "a", Peer: server.Listener.Addr().String()}, {ID: "me", Zone: "b"}, {ID: "other", Zone: "b"}},
 	}
 	r := NewRouter(RouterConfig{Control: own, Statuses: NewStatuses(own, clk), Groups: registryOn(clk), Clock: clk, Log: zap.NewNop(), Dial: (&net.Dialer{}).DialContext})
-	r.Update(gateways.NewPlan("me", c), c)
+	r.Update(gateways.NewAssignment("me", c), c)
 	_, _, err := ControlClient{r}.Recent(context.Background(), "t", 0, time.Second)
 	require.NoError(t, err)
 	_, err = ControlClient{r}.Control(context.Background(), "t", lane.StatusCommand, time.Second)
--- a/relay/convert.go
+++ b/relay/convert.go
@@ -19,15 +19,15 @@
 
 func claimOf(service string, id target.ID, c dispatch.Claim, now clock.Time) *relaypb.Claim {
 	return &relaypb.Claim{
-		Service: service, Target: string(id), DueUs: micros(c.Order.Due.Sub(now)),
-		Priority: int32(c.Order.Priority), QueueUs: micros(c.Queue), Workspace: c.Order.Workspace,
+		Service: service, Target: string(id), DueUs: micros(c.Options.Due.Sub(now)),
+		Priority: int32(c.Options.Priority), QueueUs: micros(c.QueueTimeout), Workspace: c.Options.Workspace,
 	}
 }
 
 func claim(in *relaypb.Claim, now clock.Time) dispatch.Claim {
 	return dispatch.Claim{
-		Order: lane.AcquireOptions{Due: now.Add(duration(in.GetDueUs())), Priority: int(in.GetPriority()), Workspace: in.GetWorkspace()},
-		Queue: duration(in.GetQueueUs()),
+		Options:      lane.AcquireOptions{Due: now.Add(duration(in.GetDueUs())), Priority: int(in.GetPriority()), Workspace: in.GetWorkspace()},
+		QueueTimeout: duration(in.GetQueueUs()),
 	}
 }
 
@@ -62,7 +62,7 @@
 func jobOf(j *dispatch.Job, left time.Duration) *relaypb.RunRequest {
 	out := &relaypb.RunRequest{
 		Values: valuesOf(j.Values), Id: j.Statement.ID, Text: j.Statement.Text, Arguments: j.Statement.Arguments,
-		After: positionOf(j.After), Commits: j.Commits, AnswerUs: micros(j.Answer), LeftUs: micros(left),
+		After: positionOf(j.After), Commits: j.Commits, AnswerUs: micros(j.AnswerTimeout), LeftUs: micros(left),
 	}
 	if j.Prepared != nil {
 		out.Prepared, out.Shape, out.ShapeWrites = true, j.Prepared.Shape, j.Prepared.Writes
@@ -74,7 +74,7 @@
 	out := &dispatch.Job{
 		Service:   in.GetClaim().GetService(),
 		Statement: &statement.Statement{ID: in.GetId(), Text: in.GetText(), Arguments: in.GetArguments()},
-		Values:    values(in.GetValues()), After: position(in.GetAfter()), Commits: in.GetCommits(), Answer: duration(in.GetAnswerUs()),
+		Values:    values(in.GetValues()), After: position(in.GetAfter()), Commits: in.GetCommits(), AnswerTimeout: duration(in.GetAnswerUs()),
 	}
 	if in.GetPrepared() {
 		out.Prepared = &lane.Prepared{Shape: in.GetShape(), Writes: in.GetShapeWrites()}
--- a/relay/convert_test.go
+++ b/relay/convert_test.go
@@ -19,13 +19,13 @@
 	j := &dispatch.Job{
 		Service: "s", Statement: &statement.Statement{ID: "r1", Text: "EXEC p a 1", Arguments: "a 1"},
 		Prepared: &lane.Prepared{Shape: "q", Writes: true}, Values: map[string]string{"lang": "ga"},
-		After: timeline.Position{Term: 3, LSN: 9}, Commits: true, Answer: 250 * time.Millisecond,
+		After: timeline.Position{Term: 3, LSN: 9}, Commits: true, AnswerTimeout: 250 * time.Millisecond,
 	}
 	in := jobOf(j, time.Second)
-	in.Claim = claimOf("s", "t", dispatch.Claim{Order: lane.AcquireOptions{Due: 5000, Priority: 2}, Queue: time.Second}, 1000)
+	in.Claim = claimOf("s", "t", dispatch.Claim{Options: lane.AcquireOptions{Due: 5000, Priority: 2}, QueueTimeout: time.Second}, 1000)
 	require.Equal(t, j, job(in))
 	c := claim(in.GetClaim(), 7000)
-	require.Equal(t, lane.AcquireOptions{Due: 11000, Priority: 2}, c.Order, "due after the same time left as at the sender")
+	require.Equal(t, lane.AcquireOptions{Due: 11000, Priority: 2}, c.Options, "due after the same time left as at the sender")
 }
 
 // Failure guarded against: a failure changes its kind in transit, so that a write that may have run
--- a/relay/router.go
+++ b/relay/router.go
@@ -56,7 +56,7 @@
 
 // catalogAssignment is an assignment with the catalog that it was computed from.
 type catalogAssignment struct {
-	*gateways.Plan
+	*gateways.Assignment
 	catalog *catalog.Catalog
 }
 
@@ -76,7 +76,7 @@
 }
 
 // Update installs a new assignment, computed from the catalog c.
-func (r *Router) Update(p *gateways.Plan, c *catalog.Catalog) {
+func (r *Router) Update(p *gateways.Assignment, c *catalog.Catalog) {
 	r.assignment.Store(&catalogAssignment{p, c})
 	addrs := make(map[string]bool, len(c.VMs))
 	for _, vm := range c.VMs {
@@ -113,8 +113,8 @@
 	return r.peers.suspectedLast(out)
 }
 
-// Proves implements dispatch.Runner: the replies of a gateway carry proofs.
-func (r *Router) Proves(id target.ID) bool { return len(r.route(id, "")) > 0 }
+// ProvesFreshness implements dispatch.Runner: the replies of a gateway carry proofs.
+func (r *Router) ProvesFreshness(id target.ID) bool { return len(r.route(id, "")) > 0 }
 
 // Load implements dispatch.Runner.
 func (r *Router) Load(id target.ID) lane.Load {
@@ -165,7 +165,7 @@
 // the target, and another VM may reach the target.
 func mayTryNext(err error) bool {
 	var unavailable *lane.UnavailableError
-	return isGateway(err) || (errors.As(err, &unavailable) && dispatch.Silent(err))
+	return isGateway(err) || (errors.As(err, &unavailable) && dispatch.Unresponsive(err))
 }
 
 // tryGateways tries the gateways to a target one after another, while the statement may go to the
@@ -189,7 +189,7 @@
 // Run implements dispatch.Runner.
 func (r *Router) Run(ctx context.Context, id target.ID, claim dispatch.Claim, job *dispatch.Job) (*dispatch.Result, error) {
 	var out *dispatch.Result
-	settled, err := r.tryGateways(id, claim.Order.Workspace, func(vm catalog.VM) (err error) {
+	settled, err := r.tryGateways(id, claim.Options.Workspace, func(vm catalog.VM) (err error) {
 		out, err = r.runAt(ctx, vm, id, claim, job)
 		return err
 	})
@@ -211,10 +211,10 @@
 	sent := r.cfg.Clock.Now()
 	left := timeLeft(ctx)
 	in := jobOf(j, left)
-	c.Queue = min(c.Queue, left)
+	c.QueueTimeout = min(c.QueueTimeout, left)
 	in.Claim = claimOf(j.Service, id, c, sent)
 	in.ProofAgeUs = proofAge(g, sent)
-	out, err := r.run(ctx, vm, g, g.Leadership.Current(), id, in, sent, min(c.Queue+j.Answer, left))
+	out, err := r.run(ctx, vm, g, g.Leadership.Current(), id, in, sent, min(c.QueueTimeout+j.AnswerTimeout, left))
 	if err != nil {
 		return nil, err
 	}
@@ -249,14 +249,14 @@
 		g.Acknowledged.Commit(before, a.Position)
 	}
 	res := &dispatch.Result{Answer: a, Sent: sent, Took: duration(out.GetTookUs())}
-	dispatch.Note(g, b, id, res)
+	dispatch.RecordAnswer(g, b, id, res)
 	return &outcome{res, out.GetLoad()}, nil
 }
 
 // recordFailure records a failure of a target that a gateway reported, and returns it as an error.
 func (r *Router) recordFailure(g *groups.Group, id target.ID, f *relaypb.Failure) error {
 	err := failure(f, id)
-	if dispatch.Silent(err) && !isGateway(err) {
+	if dispatch.Unresponsive(err) && !isGateway(err) {
 		g.Health.Failed(id, r.cfg.Clock.Now(), f.GetRefused())
 	}
 	return err
--- a/relay/server.go
+++ b/relay/server.go
@@ -118,7 +118,7 @@
 		return &relaypb.RunReply{Failure: &relaypb.Failure{Kind: relaypb.Failure_UNREADY, Text: "the transaction is not open here"}}, nil
 	}
 	s.renewWitness(in.GetClaim().GetService(), h.tx.Target())
-	r, err := h.tx.Run(ctx, claim(in.GetClaim(), s.cfg.Clock.Now()).Order, job(in))
+	r, err := h.tx.Run(ctx, claim(in.GetClaim(), s.cfg.Clock.Now()).Options, job(in))
 	switch {
 	case err != nil:
 		s.remove(in.GetTransaction())
--- a/relay/transaction.go
+++ b/relay/transaction.go
@@ -35,7 +35,7 @@
 func (r *Router) Open(ctx context.Context, id target.ID, claim dispatch.Claim, o *dispatch.Opening) (dispatch.Transaction, *statement.Answer, error) {
 	var tx dispatch.Transaction
 	var a *statement.Answer
-	settled, err := r.tryGateways(id, claim.Order.Workspace, func(vm catalog.VM) (err error) {
+	settled, err := r.tryGateways(id, claim.Options.Workspace, func(vm catalog.VM) (err error) {
 		tx, a, err = r.openAt(ctx, vm, id, claim, o)
 		return err
 	})
@@ -52,7 +52,7 @@
 	g := r.cfg.Groups.Group(o.Service)
 	b := g.Leadership.Current()
 	left := timeLeft(ctx)
-	c.Queue = min(c.Queue, left)
+	c.QueueTimeout = min(c.QueueTimeout, left)
 	sent := r.cfg.Clock.Now()
 	in := &relaypb.OpenRequest{
 		Claim: claimOf(o.Service, id, c, sent), Values: valuesOf(o.Values),
@@ -92,9 +92,9 @@
 	in := jobOf(j, left)
 	in.Transaction = t.number
 	sent := t.router.cfg.Clock.Now()
-	in.Claim = claimOf(j.Service, t.id, dispatch.Claim{Order: o}, sent)
+	in.Claim = claimOf(j.Service, t.id, dispatch.Claim{Options: o}, sent)
 	in.ProofAgeUs = proofAge(t.group, sent)
-	out, err := t.router.run(ctx, t.vm, t.group, t.state, t.id, in, sent, min(j.Answer, left))
+	out, err := t.router.run(ctx, t.vm, t.group, t.state, t.id, in, sent, min(j.AnswerTimeout, left))
 	if err != nil {
 		return nil, err
 	}
--- a/request/machine.go
+++ b/request/machine.go
@@ -47,19 +47,19 @@
 // RecordStep records that the attempt passed a step. The state only moves forward:
 // if a first attempt may have run, a second one that is queued does not make the
 // request "not run".
-func (m *Machine) Pass(s Step) {
+func (m *Machine) RecordStep(s Step) {
 	m.step = s
 	m.state = max(m.state, stateOf(s))
 }
 
 // RecordForwarded records that a byte of an answer was forwarded to the caller. From
 // then on the request is not repeated: the caller would receive parts of two answers.
-func (m *Machine) Forwarded() { m.forwarded = true }
+func (m *Machine) RecordForwarded() { m.forwarded = true }
 
 // RecordRefused records that the target itself refused the attempt, so that this
 // attempt did not run. Only the refusal of the first attempt returns the request to
 // the state queued: the refusal of a later one says nothing about the earlier ones.
-func (m *Machine) Refused() {
+func (m *Machine) RecordRefused() {
 	if m.attempts == 1 && m.state == Sent {
 		m.state = Queued
 	}
@@ -78,13 +78,13 @@
 }
 
 // FailureResult is the result of a failed attempt.
-type Verdict struct {
+type FailureResult struct {
 	// Retry is set if the proxy makes another attempt.
 	Retry bool
 	// Outcome is the outcome that is returned to the caller if no other attempt is made.
 	Outcome outcome.Outcome
 	// Reason explains why Retry is set or not; it is written to the request's record.
-	Why Reason
+	Reason Reason
 }
 
 // Reason explains why a failed attempt is followed by another or not.
@@ -104,12 +104,12 @@
 
 // Fail records a failed attempt and decides whether it is retried. It takes a token
 // from the budget only if everything else allows a retry.
-func (m *Machine) Fail(f Failure, now clock.Time, b Budget) Verdict {
+func (m *Machine) Fail(f Failure, now clock.Time, b Budget) FailureResult {
 	if f.provesNotRun() {
-		m.Refused()
+		m.RecordRefused()
 	}
-	result := Verdict{Outcome: m.Outcome()}
-	result.Retry, result.Why = m.mayRetry(f, now, b)
+	result := FailureResult{Outcome: m.Outcome()}
+	result.Retry, result.Reason = m.mayRetry(f, now, b)
 	return result
 }
 
@@ -144,7 +144,7 @@
 }
 
 // StartAttempt starts another attempt.
-func (m *Machine) Again() {
+func (m *Machine) StartAttempt() {
 	m.attempts++
 	m.step = StepReceived
 }
--- a/request/machine_test.go
+++ b/request/machine_test.go
@@ -26,7 +26,7 @@
 func TestSentRequestIsNeverNotRun(t *testing.T) {
 	for _, s := range Steps {
 		m := New(Terms{Deadline: later})
-		m.Pass(s)
+		m.RecordStep(s)
 		got := m.Fail(FailureLost, 0, &unlimitedBudget{}).Outcome
 		require.Equal(t, s < StepSent, got == outcome.NotRun, s.String())
 	}
@@ -37,9 +37,9 @@
 // one is queued, but the first may have run, so that the outcome must stay "unknown".
 func TestQueuedRepeatDoesNotHideTheFirstAttempt(t *testing.T) {
 	m := New(Terms{Keyed: true, Deadline: later})
-	m.Pass(StepSent)
+	m.RecordStep(StepSent)
 	require.True(t, m.Fail(FailureLost, 0, &unlimitedBudget{}).Retry)
-	m.Again()
+	m.StartAttempt()
 	require.Equal(t, outcome.Unknown, m.Fail(FailureDeadline, later, &unlimitedBudget{}).Outcome)
 	require.Equal(t, outcome.Unknown, m.Fail(FailureFenced, 0, &unlimitedBudget{}).Outcome)
 }
@@ -48,7 +48,7 @@
 // proxy may send the write to the new primary.
 func TestFencedRefusalMayBeRepeatedOnce(t *testing.T) {
 	m := New(Terms{Deadline: later})
-	m.Pass(StepSent)
+	m.RecordStep(StepSent)
 	result := m.Fail(FailureFenced, 0, &unlimitedBudget{})
 	require.True(t, result.Retry)
 	require.Equal(t, outcome.NotRun, result.Outcome)
@@ -56,12 +56,12 @@
 
 func TestRetryNeedsBudgetTimeAndNothingForwarded(t *testing.T) {
 	m := New(Terms{Idempotent: true, Deadline: later})
-	m.Pass(StepSent)
-	require.Equal(t, ReasonBudget, m.Fail(FailureLost, 0, spentBudget{}).Why)
-	require.Equal(t, ReasonDeadline, m.Fail(FailureLost, later, &unlimitedBudget{}).Why)
-	m.Forwarded()
+	m.RecordStep(StepSent)
+	require.Equal(t, ReasonBudget, m.Fail(FailureLost, 0, spentBudget{}).Reason)
+	require.Equal(t, ReasonDeadline, m.Fail(FailureLost, later, &unlimitedBudget{}).Reason)
+	m.RecordForwarded()
 	b := &unlimitedBudget{}
-	require.Equal(t, ReasonForwarded, m.Fail(FailureLost, 0, b).Why)
+	require.Equal(t, ReasonForwarded, m.Fail(FailureLost, 0, b).Reason)
 	require.Zero(t, b.calls, "a refused retry must not draw on the budget")
 }
 
@@ -72,7 +72,7 @@
 		m := New(Terms{Deadline: later})
 		unresolved := 0
 		for range 8 {
-			m.Pass(rapid.SampledFrom(Steps).Draw(t, "step"))
+			m.RecordStep(rapid.SampledFrom(Steps).Draw(t, "step"))
 			f := Failure(rapid.IntRange(0, len(failureNames)-1).Draw(t, "failure"))
 			if m.Step() >= StepSent && f != FailureFenced {
 				unresolved++
@@ -81,7 +81,7 @@
 				return
 			}
 			require.Zero(t, unresolved)
-			m.Again()
+			m.StartAttempt()
 		}
 	})
 }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -28,7 +28,7 @@
 	Burst int
 	// IdleInterval is the interval at which a retry is earned without any request, so
 	// that a group with little traffic has retries as well; default 10 s.
-	Idle time.Duration
+	IdleInterval time.Duration
 }
 
 func (c Config) withDefaults() Config {
@@ -38,8 +38,8 @@
 	if c.Burst <= 0 {
 		c.Burst = 10
 	}
-	if c.Idle <= 0 {
-		c.Idle = 10 * time.Second
+	if c.IdleInterval <= 0 {
+		c.IdleInterval = 10 * time.Second
 	}
 	return c
 }
@@ -65,7 +65,7 @@
 	b := &Budget{
 		earn:         int64(c.Ratio * tokensPerRetry),
 		limit:        int64(c.Burst) * tokensPerRetry,
-		idleInterval: c.Idle,
+		idleInterval: c.IdleInterval,
 	}
 	b.tokens.Store(b.limit)
 	return b
--- a/scenario/caller.go
+++ b/scenario/caller.go
@@ -46,8 +46,8 @@
 	proxy      string
 	invoked    clock.Time
 	deadline   clock.Time
-	token      string        // what the session gave with it
-	marks      session.Marks // what the proxy read in the token
+	token      string             // what the session gave with it
+	marks      session.Watermarks // what the proxy read in the token
 
 	answered clock.Time // 0 while there is no answer
 	outcome  outcome.Outcome
@@ -83,7 +83,7 @@
 		id: w.nextID, caller: s, access: r.access, op: r.op, row: r.row, key: r.key,
 		durability: r.durability, statements: max(1, r.statements), proxy: vmName,
 		invoked: w.now, deadline: w.now.Add(requestDeadline), token: s.token,
-		marks: session.Marks{},
+		marks: session.Watermarks{},
 	}
 	w.history = append(w.history, c)
 	v := w.vm(vmName)
@@ -130,7 +130,7 @@
 
 // issueToken gives the session a token that covers a write.
 func (w *World) issueToken(c *call, pos timeline.Position) {
-	marks := session.Marks{}
+	marks := session.Watermarks{}
 	if old, err := w.keys.Verify(c.caller.token, c.caller.name, w.wallClock()); err == nil {
 		marks.Merge(old)
 	}
--- a/scenario/proxy.go
+++ b/scenario/proxy.go
@@ -88,7 +88,7 @@
 // pass records a step and lets faults strike before what follows it.
 func (a *attempt) pass(s core.Step) bool {
 	n := a.number
-	a.m.Pass(s)
+	a.m.RecordStep(s)
 	w := a.p.v.w
 	w.strike(Strike{Op: a.c.op, Step: s.String(), Node: a.p.v.name, Server: string(a.server)})
 	return a.live(n)
@@ -125,7 +125,7 @@
 		a.finish(v.Outcome, 0)
 		return
 	}
-	a.m.Again()
+	a.m.StartAttempt()
 	n := a.number
 	a.p.after(retryPause, func() {
 		if a.live(n) {
@@ -135,13 +135,13 @@
 }
 
 // verdict is the core's, but for the guards that a test takes out.
-func (a *attempt) verdict(f core.Failure) core.Verdict {
+func (a *attempt) verdict(f core.Failure) core.FailureResult {
 	now := a.p.v.w.now
 	v := a.m.Fail(f, now, openBudget{})
 	if a.p.v.w.guards.Out(GuardOutcome) {
 		v.Outcome = outcome.NotRun
 	}
-	if a.p.v.w.guards.Out(GuardRepeat) && v.Why == core.ReasonUnsafe {
+	if a.p.v.w.guards.Out(GuardRepeat) && v.Reason == core.ReasonUnsafe {
 		v.Retry = now.Before(a.c.deadline)
 	}
 	return v
--- a/scenario/server.go
+++ b/scenario/server.go
@@ -94,7 +94,7 @@
 
 func (s *server) refuse(term timeline.Term) error {
 	s.w.logf("%s refuses term=%d promised=%d", s.id, term, s.promised)
-	return errors.WithStack(&target.FencedError{Server: s.id, Ordered: term, Promised: s.promised})
+	return errors.WithStack(&target.FencedError{Server: s.id, CommandTerm: term, Promised: s.promised})
 }
 
 func (s *server) fence(term timeline.Term) (target.Status, error) {
--- a/session/keys.go
+++ b/session/keys.go
@@ -19,7 +19,7 @@
 	MaxGroups = 32
 	// TokenLifetime is the time for which a token is accepted. An expired token costs its caller a
 	// query to the primary, never a stale read.
-	TokenLife = 7 * 24 * time.Hour
+	TokenLifetime = 7 * 24 * time.Hour
 )
 
 // keyRing is an immutable set of keys.
@@ -64,11 +64,11 @@
 // claims is the content of a token.
 type claims struct {
 	jwt.RegisteredClaims
-	Watermarks Marks `json:"marks"`
+	Watermarks Watermarks `json:"marks"`
 }
 
 // Issue returns a token that holds m, signed for user. The error is a *SizeError if m is too large.
-func (k *Keys) Issue(user string, m Marks, now time.Time) (string, error) {
+func (k *Keys) Issue(user string, m Watermarks, now time.Time) (string, error) {
 	if len(m) > MaxGroups {
 		return "", &SizeError{Groups: len(m)}
 	}
@@ -76,7 +76,7 @@
 	token := jwt.NewWithClaims(jwt.SigningMethodHS256, claims{
 		RegisteredClaims: jwt.RegisteredClaims{
 			Subject:   user,
-			ExpiresAt: jwt.NewNumericDate(now.Add(TokenLife)),
+			ExpiresAt: jwt.NewNumericDate(now.Add(TokenLifetime)),
 		},
 		Watermarks: m,
 	})
@@ -96,7 +96,7 @@
 //
 // The algorithm is fixed. The usual forgery of this format is a token that names another algorithm,
 // such as "none"; it is refused.
-func (k *Keys) Verify(token, user string, now time.Time) (Marks, error) {
+func (k *Keys) Verify(token, user string, now time.Time) (Watermarks, error) {
 	if len(token) > MaxTokenBytes {
 		return nil, &TokenError{Fault: FaultMalformed}
 	}
@@ -119,7 +119,7 @@
 		return nil, &TokenError{Fault: FaultMalformed, KeyID: keyID(parsed)}
 	}
 	if content.Watermarks == nil {
-		return Marks{}, nil
+		return Watermarks{}, nil
 	}
 	return content.Watermarks, nil
 }
--- a/session/marks.go
+++ b/session/marks.go
@@ -7,18 +7,18 @@
 
 // Watermarks are a session's watermarks: for each group, the newest position that the session has
 // written or that it is guaranteed to read.
-type Marks map[string]timeline.Position
+type Watermarks map[string]timeline.Position
 
 // Raise raises the group's watermark to pos. A lower position changes nothing, so answers that
 // arrive out of order cannot lower a session's floor.
-func (m Marks) Raise(group string, pos timeline.Position) {
+func (m Watermarks) Raise(group string, pos timeline.Position) {
 	if m[group].Less(pos) {
 		m[group] = pos
 	}
 }
 
 // Merge raises every watermark of m to that of other.
-func (m Marks) Merge(other Marks) {
+func (m Watermarks) Merge(other Watermarks) {
 	for group, pos := range other {
 		m.Raise(group, pos)
 	}
@@ -67,7 +67,7 @@
 // A watermark beyond the start of a later term refers to entries that no server retains. Waiting
 // for them would never end, so the floor is reduced to the retained part, and SourceCut allows the
 // proxy to report to the caller that its write was discarded.
-func FloorOf(m Marks, g *view.Group) Floor {
+func FloorOf(m Watermarks, g *view.Group) Floor {
 	watermark, ok := m[g.Name]
 	if !ok || watermark.IsZero() {
 		return Floor{Source: SourcePrimary}
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -19,7 +19,7 @@
 	start            = time.Unix(1_800_000_000, 0)
 	first            = bytes.Repeat([]byte{1}, MinKeyBytes)
 	second           = bytes.Repeat([]byte{2}, MinKeyBytes)
-	issuedWatermarks = Marks{"ledger-0": {Term: 3, LSN: 1 << 60}}
+	issuedWatermarks = Watermarks{"ledger-0": {Term: 3, LSN: 1 << 60}}
 )
 
 func newKeys(t testing.TB) *Keys {
@@ -92,9 +92,9 @@
 func TestExpiredTokenIsRefused(t *testing.T) {
 	k := newKeys(t)
 	token := issue(t, k, "portal")
-	_, err := k.Verify(token, "portal", start.Add(TokenLife-time.Second))
+	_, err := k.Verify(token, "portal", start.Add(TokenLifetime-time.Second))
 	require.NoError(t, err)
-	_, err = k.Verify(token, "portal", start.Add(TokenLife+time.Second))
+	_, err = k.Verify(token, "portal", start.Add(TokenLifetime+time.Second))
 	requireFault(t, FaultExpired, err)
 }
 
@@ -108,7 +108,7 @@
 
 func TestMarksThatDoNotFitAreNotDroppedSilently(t *testing.T) {
 	k := newKeys(t)
-	many := Marks{}
+	many := Watermarks{}
 	for i := range MaxGroups + 1 {
 		many[strings.Repeat("g", i+1)] = timeline.Position{Term: 1, LSN: 1}
 	}
@@ -134,7 +134,7 @@
 				LSN:  timeline.LSN(rapid.IntRange(0, 99).Draw(t, "lsn")),
 			}
 		}), 1, 8).Draw(t, "positions")
-		forward, backward := Marks{}, Marks{}
+		forward, backward := Watermarks{}, Watermarks{}
 		for i := range positions {
 			forward.Raise("g", positions[i])
 			backward.Raise("g", positions[len(positions)-1-i])
@@ -149,16 +149,16 @@
 }
 
 func TestFloorRules(t *testing.T) {
-	at := func(term timeline.Term, lsn timeline.LSN) Marks {
-		return Marks{"ledger-0": {Term: term, LSN: lsn}}
+	at := func(term timeline.Term, lsn timeline.LSN) Watermarks {
+		return Watermarks{"ledger-0": {Term: term, LSN: lsn}}
 	}
 	cases := []struct {
 		name  string
-		marks Marks
+		marks Watermarks
 		want  Floor
 	}{
-		{"no token", Marks{}, Floor{}},
-		{"another group only", Marks{"ledger-1": {Term: 1, LSN: 9}}, Floor{}},
+		{"no token", Watermarks{}, Floor{}},
+		{"another group only", Watermarks{"ledger-1": {Term: 1, LSN: 9}}, Floor{}},
 		{"present term", at(3, 250), Floor{timeline.Position{Term: 3, LSN: 250}, SourceToken}},
 		{"before a promotion, kept", at(1, 90), Floor{timeline.Position{Term: 1, LSN: 90}, SourceToken}},
 		{"before a promotion, discarded", at(1, 130), Floor{timeline.Position{Term: 1, LSN: 100}, SourceCut}},
--- a/target/pgtarget/pgtarget.go
+++ b/target/pgtarget/pgtarget.go
@@ -222,7 +222,7 @@
 	if !ok || perr != nil {
 		return errors.Wrapf(err, "server %s", d.id)
 	}
-	return &target.FencedError{Server: d.id, Ordered: ordered, Promised: timeline.Term(promised)}
+	return &target.FencedError{Server: d.id, CommandTerm: ordered, Promised: timeline.Term(promised)}
 }
 
 func termText(t timeline.Term) string { return strconv.FormatUint(uint64(t), 10) }
--- a/target/pgtarget/pgtarget_test.go
+++ b/target/pgtarget/pgtarget_test.go
@@ -91,7 +91,7 @@
 	a, da := start(t, dbd.Options{ID: "a", Role: dbd.RolePrimary})
 	_, err := da.Fence(t.Context(), 9)
 	require.NoError(t, err)
-	want := &target.FencedError{Server: "a", Ordered: 8, Promised: 9}
+	want := &target.FencedError{Server: "a", CommandTerm: 8, Promised: 9}
 	_, err = da.Fence(t.Context(), 8)
 	require.Equal(t, want, err)
 	_, err = da.Promote(t.Context(), 8)
--- a/target/target.go
+++ b/target/target.go
@@ -90,9 +90,9 @@
 // FencedError means that a server refused a command because it has promised a higher term: the
 // sender of the command has been superseded.
 type FencedError struct {
-	Server   ID
-	Ordered  timeline.Term
-	Promised timeline.Term
+	Server      ID
+	CommandTerm timeline.Term
+	Promised    timeline.Term
 }
 
 // Error returns the refusal with the server's name. CommandTerm and Promised hold the two terms.
