--- a/publication/doc.go
+++ b/publication/doc.go
@@ -1,16 +1,16 @@
 // Package publication is the state machine of a change of profiles:
 //
-//	draft -> checked -> reviewed by somebody else -> published -> retired
+//	draft -> checked -> reviewed by another person -> published -> retired
 //
-// It is pure. Its functions take the draft, the record in force, who acts and
-// when, and return the next draft or record, or a *RefusedError that names the
-// rule. Package publication/store keeps drafts and records in the platform.
+// Begin with Draft, Record and Accept. The functions do no I/O: they take the draft, the record in
+// force, the actor and the time, and return the next draft or record, or a *RefusedError that names
+// the violated rule. Package publication/store persists drafts and records in the platform's object
+// store.
 //
-// One object decides: profiles/current holds the record in force, text and
-// audit act included. A publish is one conditional update of it, so it is
-// accepted at one point in time or not at all. A review covers the exact text
-// and the exact record that it replaces; when another publish came between, the
-// draft must be reviewed again.
+// The object profiles/current holds the record in force, including its text and its audit entry. A
+// publish is one conditional update of this object, so it takes effect atomically or not at all. A
+// review covers the exact text and the exact record that the text replaces; if another publish
+// intervenes, the draft must be reviewed again.
 //
-// Daemons take a record only as Accept says: generations never go back.
+// Daemons adopt a record only if Accept allows it, so that their generation never decreases.
 package publication
--- a/publication/draft.go
+++ b/publication/draft.go
@@ -11,11 +11,11 @@
 	"endivemoor.example/endivemoor/profile/diff"
 )
 
-// State is how far a draft has come.
+// State is the stage of a draft.
 type State string
 
-// States of a draft. Retired is final; a published draft lives on as a Record,
-// which the next one retires in its turn.
+// States of a draft. Retired is final. A published draft continues as a Record, which the next
+// published Record replaces.
 const (
 	StateDraft    State = "draft"
 	StateChecked  State = "checked"
@@ -23,26 +23,27 @@
 	StateRetired  State = "retired"
 )
 
-// Mark places an act: the wall clock, and the last segment of the audit log.
+// AuditPoint is the wall-clock time of a step, and the number of the last segment of the audit log
+// at that time.
 type Mark struct {
 	Time  time.Time
 	Since int
 }
 
-// Review is a reviewer's word on one text against one record.
+// Review is a reviewer's approval of one text as the replacement of one record.
 type Review struct {
 	Reviewer string    `json:"reviewer"`
 	Reason   string    `json:"reason"`
 	Time     time.Time `json:"time"`
-	// Digest of the text that was reviewed, and the version it would replace.
+	// Digest identifies the reviewed text, Base the version that it would replace.
 	Digest string  `json:"digest"`
 	Base   Version `json:"base"`
-	// Accepted are the IDs of the dangerous changes accepted.
+	// Accepted lists the IDs of the accepted dangerous changes.
 	Accepted []string `json:"accepted,omitempty"`
 }
 
-// Draft is a text on its way. It is the value of "profiles/drafts/<id>"; the
-// text is never edited, another text is another draft.
+// Draft is a proposed text of the profiles. It is the value of "profiles/drafts/<id>". Its text is
+// immutable: a different text requires a new draft.
 type Draft struct {
 	ID      string    `json:"id"`
 	Author  string    `json:"author"`
@@ -52,13 +53,13 @@
 	Digest  string    `json:"digest"`
 	State   State     `json:"state"`
 	Review  *Review   `json:"review,omitempty"`
-	// Acts are the audit entries of its steps, in order. The first Recorded of
-	// them are known to stand in the audit trail.
+	// Entries are the audit entries of the draft's steps, in order. The first Recorded of them are
+	// known to be in the audit trail.
 	Acts     []Act `json:"acts"`
 	Recorded int   `json:"recorded"`
 }
 
-// NewDraft begins a draft of text.
+// NewDraft returns a draft of text in StateDraft.
 func NewDraft(id string, text []byte, s Step) (Draft, error) {
 	if err := s.check(); err != nil {
 		return Draft{}, err
@@ -67,7 +68,7 @@
 	return d.record(s, audit.ProfileDrafted, "", d.Digest), nil
 }
 
-// Check moves a draft on if its text has no findings that refuse it.
+// Check returns the draft in StateChecked, unless a finding refuses its text.
 func (d Draft) Check(findings finding.Findings, current *Record) (Draft, error) {
 	if d.State != StateDraft {
 		return d, refuse(RuleState, "draft %s is %s", d.ID, d.State)
@@ -82,9 +83,9 @@
 	return d, nil
 }
 
-// Approve records a reviewer's word. Changes are those from current to the
-// draft's text; each dangerous one must be among the accepted IDs. A draft may
-// be reviewed again, when another publish came between.
+// Approve records a reviewer's approval. The changes are those from current to the draft's text;
+// accepted must contain the ID of each dangerous one. A draft can be reviewed again, which is
+// necessary after another publish replaced the record that it was reviewed against.
 func (d Draft) Approve(s Step, current *Record, changes []diff.Change, accepted []string) (Draft, error) {
 	if err := s.check(); err != nil {
 		return d, err
@@ -95,8 +96,8 @@
 	if d.Digest == current.version().Digest {
 		return d, refuse(RuleSameText, "the text is what generation %d says already", current.Generation)
 	}
-	// The guard against a change that one person pushes through alone. Names
-	// are compared without case and space, else "Aoife" could review "aoife".
+	// Failure guarded against: one person publishes a change alone. Names are compared without
+	// regard to case and surrounding space; otherwise "Aoife" could review a draft of "aoife".
 	if samePerson(d.Author, s.Actor) && !s.Guards.Out(GuardReviewer) {
 		return d, refuse(RuleOwnReview, "%s wrote draft %s, somebody else must review it", d.Author, d.ID)
 	}
@@ -111,7 +112,7 @@
 	return d.record(s, audit.ProfileReviewed, current.version().Digest, d.Digest), nil
 }
 
-// Retire withdraws a draft that is not to be published.
+// Retire withdraws the draft, which can then no longer be published.
 func (d Draft) Retire(s Step) (Draft, error) {
 	if err := s.check(); err != nil {
 		return d, err
@@ -123,8 +124,8 @@
 	return d.record(s, audit.ProfileRetired, d.Digest, ""), nil
 }
 
-// Publish returns the record that puts the draft in force after current, which
-// is nil before the first.
+// Publish returns the record that puts the draft in force in place of current, which is nil before
+// the first publish.
 func (d Draft) Publish(s Step, current *Record) (*Record, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -132,12 +133,12 @@
 	if d.State != StateReviewed {
 		return nil, refuse(RuleState, "draft %s is %s, not reviewed", d.ID, d.State)
 	}
-	own := samePerson(d.Author, d.Review.Reviewer) && !s.Guards.Out(GuardReviewer)
-	if own || d.Review.Digest != d.Digest {
+	ownReview := samePerson(d.Author, d.Review.Reviewer) && !s.Guards.Out(GuardReviewer)
+	if ownReview || d.Review.Digest != d.Digest {
 		return nil, refuse(RuleOwnReview, "the review of draft %s does not stand", d.ID)
 	}
-	// The guard against two publishes at once, and against a review of one
-	// difference that lets another pass: the reviewer saw the change from Base.
+	// Failure guarded against: two concurrent publishes, or a publish whose changes differ from
+	// the reviewed ones. The reviewer saw only the changes relative to Base.
 	if d.Review.Base != current.version() && !s.Guards.Out(GuardBase) {
 		return nil, Superseded(current, "draft %s was reviewed against generation %d; review it again", d.ID, d.Review.Base.Generation)
 	}
--- a/publication/record.go
+++ b/publication/record.go
@@ -10,22 +10,22 @@
 	"endivemoor.example/endivemoor/profile"
 )
 
-// Version names a published set: which one, and what it says.
+// Version identifies a published set by its generation and the digest of its text.
 type Version struct {
 	Generation profile.Generation `json:"generation"`
 	Digest     string             `json:"digest"`
 }
 
-// Act is an audit entry that travels with the change that it tells of, so that
-// a change and its entry are written by one update. Since is the last segment
-// of the audit log when the act was prepared.
+// PendingEntry is an audit entry that is stored in the object whose change it describes, so that
+// one update writes both. Since is the number of the last segment of the audit log at the time at
+// which the entry was prepared.
 type Act struct {
 	audit.Draft
 	Since int `json:"since"`
 }
 
 // Record is a published set. It is the value of "profiles/current", and of
-// "profiles/sets/<generation>" once its act stands in the audit trail.
+// "profiles/sets/<generation>" once its audit entry is in the audit trail.
 type Record struct {
 	Version
 	// Text is the INI text.
@@ -36,16 +36,16 @@
 	Reviewer  string    `json:"reviewer"`
 	Publisher string    `json:"publisher"`
 	Published time.Time `json:"published"`
-	// Accepted are the dangerous changes that the reviewer gave its word for.
+	// Accepted lists the IDs of the dangerous changes that the reviewer accepted.
 	Accepted []string `json:"accepted,omitempty"`
-	// Replaced is the version before.
+	// Replaced is the previous version.
 	Replaced Version `json:"replaced"`
-	// Act is written to the audit trail by the publisher or, if that was
-	// killed, by the next command.
+	// Entry is written to the audit trail by the publishing command or, if that was killed, by the
+	// next command.
 	Act Act `json:"act"`
 }
 
-// Decode reads a record and checks that its text has its digest.
+// Decode parses a record and verifies the digest of its text.
 func Decode(value []byte) (*Record, error) {
 	r := &Record{}
 	if err := json.Unmarshal(value, r); err != nil {
@@ -60,13 +60,13 @@
 	return r, nil
 }
 
-// Encode returns the object's value.
+// Encode returns the record as the value of its object.
 func (r *Record) Encode() ([]byte, error) {
 	value, err := json.Marshal(r)
 	return value, errors.Wrap(err, "encode published profiles")
 }
 
-// version of a record that may be nil: nothing published yet.
+// version returns the zero Version for a nil record, which means that nothing is published yet.
 func (r *Record) version() Version {
 	if r == nil {
 		return Version{}
@@ -74,24 +74,24 @@
 	return r.Version
 }
 
-// Verdict is what a daemon does with a version that it is offered.
+// AcceptResult is the decision of a daemon on an offered version.
 type Verdict uint8
 
 const (
 	// Take puts the offered version in force.
 	Take Verdict = iota
-	// Same is what is in force already.
+	// Same means that the offered version is already in force.
 	Same
-	// Older is refused: its offerer is behind.
+	// Older is refused because its generation is lower than the one in force.
 	Older
-	// Forked is refused: the same generation with another text. It cannot come
-	// about through this package, so it tells of a store or peer to mistrust.
+	// Forked is refused because it has the generation in force with a different text. This package
+	// cannot produce such a version, so the store or peer that offers it is not trustworthy.
 	Forked
 )
 
-// String returns the verdict's name in logs.
-func (v Verdict) String() string {
-	switch v {
+// String returns the result's name in logs.
+func (r Verdict) String() string {
+	switch r {
 	case Take:
 		return "take"
 	case Same:
@@ -103,11 +103,11 @@
 	}
 }
 
-// Accept decides on a version offered by the store or by a peer. It guards
-// against a reverted configuration: a peer that was paused for an hour, or a
-// store restored from a backup, offers an older generation, and a daemon that
-// took it would serve reads by rules that were withdrawn. The generation is
-// compared alone, so it does not matter who offers, or in which order.
+// Accept decides whether a daemon adopts a version that the store or a peer offers.
+//
+// Failure guarded against: a peer that was paused for an hour, or a store that was restored from a
+// backup, offers an older generation, and a daemon that adopts it serves reads by withdrawn rules.
+// Only generations are ordered, so neither the source of the offers nor their order matters.
 func Accept(current, offered Version) Verdict {
 	switch {
 	case offered.Generation > current.Generation:
--- a/publication/refused.go
+++ b/publication/refused.go
@@ -7,23 +7,23 @@
 	"endivemoor.example/endivemoor/internal/guard"
 )
 
-// Guards that a test may take out.
+// Guards that a test can disable.
 const (
-	// GuardReviewer asks for a reviewer other than the author.
+	// GuardReviewer requires a reviewer other than the author.
 	GuardReviewer guard.Name = "publication/other-reviewer"
-	// GuardBase asks that a review still stands against what is in force.
+	// GuardBase requires that the record in force is the one that the draft was reviewed against.
 	GuardBase guard.Name = "publication/reviewed-base"
-	// GuardDanger asks for the word on each dangerous change.
+	// GuardDanger requires that the reviewer accepts each dangerous change.
 	GuardDanger guard.Name = "publication/dangerous-changes"
 )
 
-// Rule is why a step was refused.
+// Rule names the rule that refused a step.
 type Rule string
 
 const (
-	// RuleActor asks for a name of who acts.
+	// RuleActor requires the name of the actor.
 	RuleActor Rule = "actor"
-	// RuleReason asks for a reason.
+	// RuleReason requires a reason.
 	RuleReason Rule = "reason"
 	// RuleState refuses a step that the draft's state does not allow.
 	RuleState Rule = "state"
@@ -31,24 +31,23 @@
 	RuleChecked Rule = "checked"
 	// RuleSameText refuses a draft that changes nothing.
 	RuleSameText Rule = "same-text"
-	// RuleOwnReview keeps authors from reviewing their own change.
+	// RuleOwnReview prevents authors from reviewing their own changes.
 	RuleOwnReview Rule = "own-review"
-	// RuleDanger asks for the reviewer's word on each dangerous change.
+	// RuleDanger requires that the reviewer accepts each dangerous change.
 	RuleDanger Rule = "danger"
-	// RuleSuperseded refuses a review or publish against a record that another
-	// publish has replaced.
+	// RuleSuperseded refuses a publish whose base record another publish has replaced.
 	RuleSuperseded Rule = "superseded"
 )
 
-// RefusedError says that a step was not taken, and changed nothing.
+// RefusedError reports that a step was refused and changed nothing.
 type RefusedError struct {
 	Rule    Rule
 	Message string
-	// Winner is who and what came first, for RuleSuperseded.
+	// Winner is the record in force, for RuleSuperseded.
 	Winner *Record
 }
 
-// Error names rule and reason, and the winner of a race.
+// Error names the rule, the reason and, if there is one, the winning record.
 func (e *RefusedError) Error() string {
 	text := fmt.Sprintf("refused (%s): %s", e.Rule, e.Message)
 	if w := e.Winner; w != nil {
@@ -62,20 +61,20 @@
 	return &RefusedError{Rule: rule, Message: fmt.Sprintf(format, args...)}
 }
 
-// Superseded is what the loser of a race is told: who won, and with what.
+// Superseded returns the error of a publish that lost a race. It names the winning record.
 func Superseded(winner *Record, format string, args ...any) error {
 	return &RefusedError{Rule: RuleSuperseded, Message: fmt.Sprintf(format, args...), Winner: winner}
 }
 
-// Step is who takes a step, when and why.
+// Step describes a step on a draft: its actor, reason and time.
 type Step struct {
 	Actor  string
 	Reason string
-	// ID names the step in the audit trail; it is chosen at random once, before
-	// anything is written.
+	// ID identifies the step in the audit trail. It is chosen at random, once, before anything is
+	// written.
 	ID  string
 	Act Mark
-	// Guards are taken out by tests only.
+	// Guards is set by tests only, to disable guards.
 	Guards guard.Set
 }
 
--- a/publication/rules.go
+++ b/publication/rules.go
@@ -12,7 +12,7 @@
 	return strings.EqualFold(strings.TrimSpace(a), strings.TrimSpace(b))
 }
 
-// notAccepted returns a line for each dangerous change without the word.
+// notAccepted returns a line for each dangerous change whose ID is not in accepted.
 func notAccepted(changes []diff.Change, accepted []string) []string {
 	var lines []string
 	for _, c := range diff.Dangerous(changes) {
@@ -31,7 +31,7 @@
 	return ids
 }
 
-// label names a version in the audit trail: "generation 7 <digest>".
+// label returns the version's name in the audit trail, such as "generation 7 <digest>".
 func label(v Version) string {
 	if v.Generation == 0 {
 		return ""
