--- a/publication/store/bench_test.go
+++ b/publication/store/bench_test.go
@@ -8,7 +8,8 @@
 	"endivemoor.example/endivemoor/platform/standin/platformd"
 )
 
-// What one change of profiles, from draft to published, costs the store.
+// BenchmarkChange measures the store's reads and writes for one change of profiles, from draft to
+// published.
 func BenchmarkChange(b *testing.B) {
 	ctx := context.Background()
 	p := platformd.NewStore()
--- a/publication/store/doc.go
+++ b/publication/store/doc.go
@@ -1,12 +1,11 @@
-// Package store drives the state machine of package publication against the
-// platform's objects:
+// Package store runs the state machine of package publication on objects of the platform's store:
 //
-//	profiles/drafts/<id>        open drafts, with their audit acts
+//	profiles/drafts/<id>        open drafts, with their pending audit entries
 //	profiles/current            the record in force; a publish is one update of it
 //	profiles/sets/<generation>  archive of every record
 //
-// Every change carries its audit act in the object that it changes, and the act
-// goes to the trail afterwards. A command that is killed in between leaves the
-// act where the next command finds it: each one begins with Recover. A record
-// is settled once it stands in the archive, which is written last.
+// Begin with Store. Each change is written together with its audit entry, in one update of the
+// changed object, and the entry is appended to the audit trail afterwards. If a command is killed in
+// between, the next one finds the entry in the object, because each command begins with Recover. A
+// record is settled once it is in the archive, which is written last.
 package store
--- a/publication/store/guards_test.go
+++ b/publication/store/guards_test.go
@@ -14,25 +14,25 @@
 	"endivemoor.example/endivemoor/store"
 )
 
-// A publish is between its recovery and its reading when another one takes
-// effect and is killed before it is settled, and a review that had recovered
-// just before that accepts our draft against the new generation. Our publish
-// must not overwrite the only place where the other's audit entry stands.
+// Failure guarded against: after our publish has recovered, and before it reads its draft, a second
+// publish takes effect and is killed before it is settled. A review that recovered before that
+// approves our draft against the new generation. Our publish then overwrites the only copy of the
+// second publish's audit entry.
 func TestUnsettledRecordIsNotOverwritten(t *testing.T) {
-	require.NoError(t, overwrite(t, nil))
+	require.NoError(t, checkUnsettledReplaced(t, nil))
 }
 
-func overwrite(t *testing.T, guards guard.Set) error {
+func checkUnsettledReplaced(t *testing.T, guards guard.Set) error {
 	t.Helper()
 	ctx := context.Background()
 	p := platformd.NewStore()
 	publishFirst(t, p)
 	ours := reviewed(t, p, aoife, secondText)
 	theirs := reviewed(t, p, ciara, thirdText)
-	between := &beforeDraft{Store: p, act: func() {
+	between := &hookBeforeDraft{Store: p, hook: func() {
 		killedCtx, cancel := context.WithCancel(ctx)
 		defer cancel()
-		_, err := open(&afterReplace{Store: p, cancel: cancel}).Publish(killedCtx, ciara, theirs)
+		_, err := open(&cancelAfterReplace{Store: p, cancel: cancel}).Publish(killedCtx, ciara, theirs)
 		require.NoError(t, err)
 		_, err = without(p, guard.Without(GuardRecover)).Review(ctx, brian, ours, nil)
 		require.NoError(t, err)
@@ -47,32 +47,32 @@
 		}
 	}
 	if published != 3 {
-		return errors.Errorf("three generations were in force, %d have an entry", published)
+		return errors.Errorf("three generations were in force, but the audit trail has %d entries of a publish", published)
 	}
 	return nil
 }
 
-// beforeDraft acts once, before the first read of a draft.
-type beforeDraft struct {
+// hookBeforeDraft calls its hook once, before the first read of a draft.
+type hookBeforeDraft struct {
 	*platformd.Store
-	act func()
+	hook func()
 }
 
-func (b *beforeDraft) Get(ctx context.Context, p store.Purpose, key string) (store.Object, error) {
-	if act := b.act; act != nil && len(key) > len(DraftPrefix) && key[:len(DraftPrefix)] == DraftPrefix {
-		b.act = nil
-		act()
+func (b *hookBeforeDraft) Get(ctx context.Context, p store.Purpose, key string) (store.Object, error) {
+	if hook := b.hook; hook != nil && len(key) > len(DraftPrefix) && key[:len(DraftPrefix)] == DraftPrefix {
+		b.hook = nil
+		hook()
 	}
 	return b.Store.Get(ctx, p, key)
 }
 
-// afterReplace is gone as soon as profiles/current was replaced.
-type afterReplace struct {
+// cancelAfterReplace cancels the command's context as soon as profiles/current was replaced.
+type cancelAfterReplace struct {
 	*platformd.Store
 	cancel func()
 }
 
-func (a *afterReplace) Put(ctx context.Context, p store.Purpose, key string, value []byte, expect store.Version) (store.Version, error) {
+func (a *cancelAfterReplace) Put(ctx context.Context, p store.Purpose, key string, value []byte, expect store.Version) (store.Version, error) {
 	v, err := a.Store.Put(ctx, p, key, value, expect)
 	if key == CurrentKey {
 		a.cancel()
@@ -80,41 +80,42 @@
 	return v, err
 }
 
-// Each guard is taken out, and a judge must notice; else either the guard or
-// the judge is of no use.
+// With each guard disabled in turn, a checker must report an error; otherwise either the guard or the
+// checker is useless.
 func TestEveryGuardIsNeeded(t *testing.T) {
-	judges := map[guard.Name]func(*testing.T, guard.Set) error{
-		GuardReadBack:             matrix,
-		GuardArchiveLast:          matrix,
-		GuardRecover:              matrix,
-		GuardSettle:               overwrite,
-		GuardOvertaken:            overtaken,
-		publication.GuardBase:     late,
-		publication.GuardDanger:   weakened,
-		publication.GuardReviewer: alone,
+	checkers := map[guard.Name]func(*testing.T, guard.Set) error{
+		GuardReadBack:             checkMatrix,
+		GuardArchiveLast:          checkMatrix,
+		GuardRecover:              checkMatrix,
+		GuardSettle:               checkUnsettledReplaced,
+		GuardOvertaken:            checkOvertaken,
+		publication.GuardBase:     checkOutdatedReview,
+		publication.GuardDanger:   checkKeyDropped,
+		publication.GuardReviewer: checkOwnReview,
 	}
-	for name, judge := range judges {
-		require.Error(t, judge(t, guard.Without(name)), "without %s", name)
+	for name, check := range checkers {
+		require.Error(t, check(t, guard.Without(name)), "without %s", name)
 	}
-	for _, judge := range []func(*testing.T, guard.Set) error{late, weakened, alone} {
-		require.NoError(t, judge(t, nil))
+	for _, check := range []func(*testing.T, guard.Set) error{checkOutdatedReview, checkKeyDropped, checkOwnReview} {
+		require.NoError(t, check(t, nil))
 	}
 }
 
-// matrix returns the first cell's fault. TestEveryFaultAtEveryCall plays it
-// with all guards in.
-func matrix(t *testing.T, guards guard.Set) error {
+// checkMatrix returns the first violation that a cell shows. TestEveryFaultAtEveryCall runs the
+// cells with all guards enabled.
+func checkMatrix(t *testing.T, guards guard.Set) error {
 	t.Helper()
 	var first error
-	sweep(t, guards, func(_ cell, _ string, fault error) bool {
-		first = fault
-		return fault == nil
+	sweep(t, guards, func(_ cell, _ string, violation error) bool {
+		first = violation
+		return violation == nil
 	})
 	return first
 }
 
-// late publishes a draft whose review another publish has overtaken.
-func late(t *testing.T, guards guard.Set) error {
+// checkOutdatedReview publishes a draft after another publish has replaced the record that the draft
+// was reviewed against.
+func checkOutdatedReview(t *testing.T, guards guard.Set) error {
 	t.Helper()
 	ctx := context.Background()
 	p := platformd.NewStore()
@@ -123,13 +124,13 @@
 	_, err := open(p).Publish(ctx, ciara, reviewed(t, p, ciara, thirdText))
 	require.NoError(t, err)
 	if _, err := without(p, guards).Publish(ctx, aoife, ours); err == nil {
-		return errors.New("a change is in force that nobody reviewed against what it replaced")
+		return errors.New("the set in force was not reviewed against the set that it replaced")
 	}
 	return nil
 }
 
-// alone lets an author publish without anybody else.
-func alone(t *testing.T, guards guard.Set) error {
+// checkOwnReview lets an author review and publish a draft without another person.
+func checkOwnReview(t *testing.T, guards guard.Set) error {
 	t.Helper()
 	ctx := context.Background()
 	p := platformd.NewStore()
@@ -139,13 +140,13 @@
 	_, _ = s.Review(ctx, By{Actor: " Aoife", Reason: "mine"}, d.ID, nil)
 	_, _ = s.Publish(ctx, aoife, d.ID)
 	if current, err := s.Current(ctx); err != nil || current != nil {
-		return errors.New("one person put a set in force")
+		return errors.New("one person put a set in force alone")
 	}
 	return nil
 }
 
-// weakened lets a payment lose its key without the reviewer's word.
-func weakened(t *testing.T, guards guard.Set) error {
+// checkKeyDropped reviews a change that drops the key of payments without accepting that change.
+func checkKeyDropped(t *testing.T, guards guard.Set) error {
 	t.Helper()
 	ctx := context.Background()
 	p := platformd.NewStore()
@@ -154,7 +155,7 @@
 	d, _, err := s.Create(ctx, aoife, "f.ini", []byte("[shop]\n[shop.pay]\n"))
 	require.NoError(t, err)
 	if _, err := s.Review(ctx, brian, d.ID, []string{"shop.pay/worth"}); err == nil {
-		return errors.New("a payment lost its key unnoticed")
+		return errors.New("the key of payments was dropped without the reviewer's acceptance")
 	}
 	return nil
 }
--- a/publication/store/matrix_test.go
+++ b/publication/store/matrix_test.go
@@ -16,13 +16,13 @@
 	"endivemoor.example/endivemoor/store"
 )
 
-// fault is what strikes a command at one of its calls to the store.
+// fault is a fault that is injected into one of a command's calls to the store.
 type fault string
 
 const (
-	// killed ends the command: no later call reaches the store.
+	// killed ends the command: neither this call nor a later one reaches the store.
 	killed fault = "killed"
-	// killedAfter ends it after the call took effect.
+	// killedAfter ends the command after the call took effect.
 	killedAfter fault = "killed after the effect"
 	// lostAnswer loses one answer after the effect.
 	lostAnswer fault = "answer lost"
@@ -39,50 +39,51 @@
 // endsCommand reports whether no later call reaches the store.
 func (f fault) endsCommand() bool { return f == killed || f == killedAfter || f == lostThenDown }
 
-// strike is a fault at a call, counted from 0.
-type strike struct {
+// injection is a fault at a call. Calls are counted from 0.
+type injection struct {
 	kind fault
 	at   int
 }
 
-func (s strike) String() string { return fmt.Sprintf("%s at call %d", s.kind, s.at) }
+func (i injection) String() string { return fmt.Sprintf("%s at call %d", i.kind, i.at) }
 
-// faulty strikes at the calls given, in order.
+// faulty injects the pending faults, in order.
 type faulty struct {
 	store.Store
-	left  []strike
-	calls int
-	// gone counts the calls since the command ended, or the store did.
-	gone *int
-	last fault
-	// cancel ends the command: its process is gone, or its time is up.
+	pending []injection
+	calls   int
+	// callsAfterEnd counts the calls since the command was killed or the store went down. It is nil
+	// before that.
+	callsAfterEnd *int
+	last          fault
+	// cancel ends the command, as when its process is killed or its timeout expires.
 	cancel func()
 }
 
-// patience is how many calls a command makes of a store that stays away
-// before its time is up.
-const patience = 4
+// callsBeforeTimeout is the number of calls that a command makes to an unavailable store before its
+// timeout expires.
+const callsBeforeTimeout = 4
 
-func (f *faulty) allStruck() bool { return len(f.left) == 0 }
+func (f *faulty) allInjected() bool { return len(f.pending) == 0 }
 
-// next says how the present call is struck: what to answer instead, and if it
-// reaches the store at all.
+// next injects a fault into the current call if one is due. It returns whether the call reaches the
+// store, and the error to return instead of its result.
 func (f *faulty) next() (reaches bool, err error) {
 	n := f.calls
 	f.calls++
-	if f.gone != nil {
-		*f.gone++
-		if f.last != lostThenDown || *f.gone == patience {
+	if f.callsAfterEnd != nil {
+		*f.callsAfterEnd++
+		if f.last != lostThenDown || *f.callsAfterEnd == callsBeforeTimeout {
 			f.cancel()
 		}
 		return false, store.ErrUnavailable
 	}
-	if f.allStruck() || f.left[0].at != n {
+	if f.allInjected() || f.pending[0].at != n {
 		return true, nil
 	}
-	f.last, f.left = f.left[0].kind, f.left[1:]
+	f.last, f.pending = f.pending[0].kind, f.pending[1:]
 	if f.last.endsCommand() {
-		f.gone = new(int)
+		f.callsAfterEnd = new(int)
 	}
 	switch f.last {
 	case killedAfter, lostThenDown, lostAnswer:
@@ -94,7 +95,7 @@
 	}
 }
 
-// read is a call without effect: whatever strikes it, it is unavailable.
+// read handles a call without effect: any injected fault makes it fail with store.ErrUnavailable.
 func (f *faulty) read() error {
 	if _, err := f.next(); err != nil {
 		return store.ErrUnavailable
@@ -117,25 +118,25 @@
 }
 
 func (f *faulty) Put(ctx context.Context, p store.Purpose, key string, value []byte, expect store.Version) (store.Version, error) {
-	reaches, struck := f.next()
+	reaches, injected := f.next()
 	if !reaches {
-		return 0, struck
+		return 0, injected
 	}
 	v, err := f.Store.Put(ctx, p, key, value, expect)
-	if struck != nil {
-		return 0, struck
+	if injected != nil {
+		return 0, injected
 	}
 	return v, err
 }
 
 func (f *faulty) Delete(ctx context.Context, p store.Purpose, key string, expect store.Version) error {
-	reaches, struck := f.next()
+	reaches, injected := f.next()
 	if !reaches {
-		return struck
+		return injected
 	}
 	err := f.Store.Delete(ctx, p, key, expect)
-	if struck != nil {
-		return struck
+	if injected != nil {
+		return injected
 	}
 	return err
 }
@@ -144,9 +145,9 @@
 type command struct {
 	name string
 	run  func(ctx context.Context, s *Store, draft string) error
-	// took reports whether the command's change stands.
-	took func(current *publication.Record, drafts []publication.Draft) bool
-	// action is recorded if and only if it does.
+	// tookEffect reports whether the command's change is in effect.
+	tookEffect func(current *publication.Record, drafts []publication.Draft) bool
+	// action is in the audit trail if and only if the change is in effect.
 	action audit.Action
 }
 
@@ -168,41 +169,41 @@
 	}, func(_ *publication.Record, drafts []publication.Draft) bool { return len(drafts) == 2 }, audit.ProfileDrafted},
 }
 
-// cell is one command under one fault, or a pair.
+// cell is one command with one or two injected faults.
 type cell struct {
-	command command
-	strikes []strike
+	command    command
+	injections []injection
 }
 
-func (c cell) String() string { return fmt.Sprint(c.command.name, " ", c.strikes) }
+func (c cell) String() string { return fmt.Sprint(c.command.name, " ", c.injections) }
 
-// Every fault strikes every call of every command. Whatever the operator was
-// told must be true, and after the next operator's command the change stands
-// with its one audit entry, or not at all with none.
+// Injects every fault into every call of every command. The command's result must be true, and after
+// the next operator's command the change is in effect with exactly one audit entry, or not in effect
+// with none.
 func TestEveryFaultAtEveryCall(t *testing.T) {
-	tried, told := 0, map[string]int{}
-	sweep(t, nil, func(c cell, outcome string, fault error) bool {
-		require.NoError(t, fault, c.String())
+	tried, reported := 0, map[string]int{}
+	sweep(t, nil, func(c cell, outcome string, violation error) bool {
+		require.NoError(t, violation, c.String())
 		tried++
-		told[outcome]++
+		reported[outcome]++
 		return true
 	})
-	t.Logf("cells struck: %d, told: %v", tried, told)
+	t.Logf("cells run: %d, reported outcomes: %v", tried, reported)
 	require.Greater(t, tried, 100)
 }
 
-// sweep plays the cells with some guards out, as long as seen says so.
-func sweep(t *testing.T, guards guard.Set, seen func(c cell, outcome string, fault error) bool) {
+// sweep runs the cells with the guards given disabled, until visit returns false.
+func sweep(t *testing.T, guards guard.Set, visit func(c cell, outcome string, violation error) bool) {
 	t.Helper()
 	for _, command := range commands {
 		for _, kind := range faults {
 			for at := 0; ; at++ {
-				c := cell{command: command, strikes: []strike{{kind, at}}}
-				outcome, struck, fault := c.play(t, guards)
-				if !struck {
+				c := cell{command: command, injections: []injection{{kind, at}}}
+				outcome, injected, violation := c.run(t, guards)
+				if !injected {
 					break
 				}
-				if !seen(c, outcome, fault) {
+				if !visit(c, outcome, violation) {
 					return
 				}
 			}
@@ -210,9 +211,9 @@
 	}
 }
 
-// play runs the command under the strikes and judges. Whether all of them struck
-// says when the command has no further call.
-func (c cell) play(t *testing.T, guards guard.Set) (outcome string, struck bool, fault error) {
+// run executes the command with the injected faults and checks its result. injected is false if the
+// command ended before all faults could be injected.
+func (c cell) run(t *testing.T, guards guard.Set) (outcome string, injected bool, violation error) {
 	t.Helper()
 	p := platformd.NewStore()
 	publishFirst(t, p)
@@ -220,49 +221,49 @@
 	before := actions(t, p)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	f := &faulty{Store: p, left: c.strikes, cancel: cancel}
-	told := c.command.run(ctx, without(f, guards), id)
+	f := &faulty{Store: p, pending: c.injections, cancel: cancel}
+	reported := c.command.run(ctx, without(f, guards), id)
 
 	_, _, err := without(p, guards).Create(context.Background(), dora, "f.ini", []byte(fourthText))
 	if err != nil {
-		return "", f.allStruck(), errors.Wrap(err, "the next operator is stuck")
+		return "", f.allInjected(), errors.Wrap(err, "the next operator's command fails")
 	}
-	outcome, fault = judge(t, p, c.command, told, before)
-	return outcome, f.allStruck(), fault
+	outcome, violation = checkOutcome(t, p, c.command, reported, before)
+	return outcome, f.allInjected(), violation
 }
 
-// judge compares what was told with what stands. It knows the objects and the
-// trail, and nothing of how the command works.
-func judge(t *testing.T, p store.Store, c command, told error, before []audit.Action) (string, error) {
+// checkOutcome compares the result that the command reported with the objects and the audit trail. It
+// does not depend on how the command works.
+func checkOutcome(t *testing.T, p store.Store, c command, reported error, before []audit.Action) (string, error) {
 	t.Helper()
 	current, drafts := state(t, p)
-	took := c.took(current, drafts)
+	inEffect := c.tookEffect(current, drafts)
 	outcome := "accepted"
 	var unknown *UnknownError
 	switch {
-	case told == nil && !took:
-		return outcome, errors.New("told accepted, and it does not stand")
-	case errors.As(told, &unknown):
+	case reported == nil && !inEffect:
+		return outcome, errors.New("the command reported success, but its change is not in effect")
+	case errors.As(reported, &unknown):
 		outcome = "unknown"
-	case told != nil:
+	case reported != nil:
 		outcome = "not accepted"
-		if took {
-			return outcome, errors.Wrap(told, "it stands, and was told")
+		if inEffect {
+			return outcome, errors.Wrap(reported, "the change is in effect, but the command reported")
 		}
 	}
 	want := slices.Clone(before)
-	if took {
+	if inEffect {
 		want = append(want, c.action)
 	}
 	want = append(want, audit.ProfileDrafted)
 	got, faults := trail(t, p)
 	if len(faults) > 0 || !slices.Equal(want, got) {
-		return outcome, errors.Errorf("trail is %v with %v, not %v", got, faults, want)
+		return outcome, errors.Errorf("audit trail is %v with faults %v, want %v", got, faults, want)
 	}
 	return outcome, nil
 }
 
-// state returns what is in force, and the drafts but that of the next operator.
+// state returns the record in force, and the drafts except those of the next operator.
 func state(t *testing.T, p store.Store) (*publication.Record, []publication.Draft) {
 	t.Helper()
 	current, err := open(p).Current(context.Background())
@@ -272,29 +273,28 @@
 	return current, slices.DeleteFunc(drafts, func(d publication.Draft) bool { return d.Author == dora.Actor })
 }
 
-// Two faults strike one command: one that it survives, and any other at any
-// later call.
+// Injects two faults into one command: one that it survives, and any other at any later call.
 func TestPairsOfFaults(t *testing.T) {
 	cells := pairs(t)
 	for _, c := range cells {
-		_, struck, fault := c.play(t, nil)
-		require.NoError(t, fault, c.String())
-		require.True(t, struck, c.String())
+		_, injected, violation := c.run(t, nil)
+		require.NoError(t, violation, c.String())
+		require.True(t, injected, c.String())
 	}
-	t.Logf("pairs struck: %d", len(cells))
+	t.Logf("pairs run: %d", len(cells))
 	require.Greater(t, len(cells), 100)
 }
 
-// pairs lists the pairs whose second fault finds a call to strike: those after
-// a first fault that does not end the command.
+// pairs lists the pairs of faults whose second one is reached: those whose first fault does not end
+// the command.
 func pairs(t *testing.T) []cell {
 	t.Helper()
 	var out []cell
 	sweep(t, nil, func(first cell, _ string, _ error) bool {
 		calls := first.calls(t)
 		for _, kind := range faults {
-			for at := first.strikes[0].at + 1; at < calls; at++ {
-				out = append(out, cell{command: first.command, strikes: append(first.strikes[:1:1], strike{kind, at})})
+			for at := first.injections[0].at + 1; at < calls; at++ {
+				out = append(out, cell{command: first.command, injections: append(first.injections[:1:1], injection{kind, at})})
 			}
 		}
 		return true
@@ -302,16 +302,16 @@
 	return out
 }
 
-// calls counts the calls that reach for the store under the cell's strikes; none
-// if they end the command.
+// calls returns the number of calls to the store that the command makes with the cell's faults, or 0
+// if its first fault ends the command.
 func (c cell) calls(t *testing.T) int {
 	t.Helper()
-	if c.strikes[0].kind.endsCommand() {
+	if c.injections[0].kind.endsCommand() {
 		return 0
 	}
 	p := platformd.NewStore()
 	publishFirst(t, p)
-	f := &faulty{Store: p, left: c.strikes, cancel: func() {}}
+	f := &faulty{Store: p, pending: c.injections, cancel: func() {}}
 	_ = c.command.run(context.Background(), open(f), reviewed(t, p, aoife, secondText))
 	return f.calls
 }
--- a/publication/store/publish.go
+++ b/publication/store/publish.go
@@ -11,17 +11,16 @@
 	"endivemoor.example/endivemoor/store/readback"
 )
 
-// Published is an accepted publish. Settled is false while its audit entry
-// still travels with the record; the next command writes it.
+// Published is an accepted publish. Settled is false if its audit entry is not yet recorded in the
+// audit trail; the next command then records it.
 type Published struct {
 	Record  *publication.Record `json:"record"`
 	Settled bool                `json:"settled"`
 }
 
-// Publish puts a reviewed draft in force by one conditional update. The error
-// is nil if and only if the publish was accepted; a *publication.RefusedError
-// names the winner of a race; *UnknownError says that the store stopped
-// answering; any other error that nothing was changed.
+// Publish puts a reviewed draft in force by one conditional update. The error is nil if and only if
+// the publish was accepted. A *publication.RefusedError names the winner of a race, an *UnknownError
+// reports that the store stopped answering, and any other error means that nothing was changed.
 func (s *Store) Publish(ctx context.Context, by By, id string) (Published, error) {
 	step, _, err := s.begin(ctx, by)
 	if err != nil {
@@ -31,7 +30,8 @@
 	if err != nil {
 		return Published{}, err
 	}
-	// Read after Recover: the record that is overwritten is a settled one.
+	// The record is read again after Recover, so that the settled record is the one that the update
+	// replaces.
 	current, version, err := s.current(ctx)
 	if err != nil {
 		return Published{}, err
@@ -51,7 +51,7 @@
 	return Published{Record: next, Settled: s.settle(ctx, next) == nil}, nil
 }
 
-// replace makes the one update that decides.
+// replace makes the conditional update of profiles/current by which the publish takes effect.
 func (s *Store) replace(ctx context.Context, next *publication.Record, expect store.Version) error {
 	value, err := next.Encode()
 	if err != nil {
@@ -78,10 +78,11 @@
 	return err == nil && r.Act.ID == next.Act.ID
 }
 
-// resolveLost tells a publish that lost from one that won, had its answer lost
-// and was followed by another before it could be read back. Without it the
-// operator would be told "refused" of a set that was in force. The archive
-// decides: nobody overwrites a record before it stands there.
+// resolveLost distinguishes a publish that lost from one that won, lost its answer and was replaced
+// by the next publish before it could be read back. It looks for the record in the archive, because
+// every publish archives the record in force before replacing it.
+//
+// Failure guarded against: the operator receives "refused" for a set that was in force.
 func (s *Store) resolveLost(ctx context.Context, next *publication.Record, seen store.Object) error {
 	winner, err := publication.Decode(seen.Value)
 	if err != nil {
@@ -101,8 +102,8 @@
 	return publication.Superseded(winner, "another publish came first")
 }
 
-// Recover finishes what a command left that was killed between a change and its
-// audit entry. It is idempotent, and two may run at once.
+// Recover completes the work of commands that were killed between a change and the recording of its
+// audit entry. It is idempotent and may run concurrently with other calls.
 func (s *Store) Recover(ctx context.Context) error {
 	current, err := s.Current(ctx)
 	if err != nil {
@@ -123,8 +124,8 @@
 	return nil
 }
 
-// settle records a published set: the acts of its draft, its own act, the end
-// of the draft, and last the archive, which says that all this is done.
+// settle records the audit entries of the draft and of the publish, removes the draft and finally
+// archives the record. A record in the archive is therefore settled.
 func (s *Store) settle(ctx context.Context, r *publication.Record) error {
 	if r == nil {
 		return nil
--- a/publication/store/settle.go
+++ b/publication/store/settle.go
@@ -12,27 +12,27 @@
 	"endivemoor.example/endivemoor/store"
 )
 
-func pending(acts ...publication.Act) []auditlog.Pending {
-	out := make([]auditlog.Pending, len(acts))
-	for i, a := range acts {
-		out[i] = auditlog.Pending{Draft: a.Draft, Since: a.Since}
+func pending(entries ...publication.Act) []auditlog.Pending {
+	out := make([]auditlog.Pending, len(entries))
+	for i, e := range entries {
+		out[i] = auditlog.Pending{Draft: e.Draft, Since: e.Since}
 	}
 	return out
 }
 
-// closeDraft records what is left of a published draft's acts, then the
-// publish, and removes the draft.
+// closeDraft records the pending audit entries of a published draft, then the entry of the publish,
+// and removes the draft.
 func (s *Store) closeDraft(ctx context.Context, r *publication.Record) error {
 	d, version, err := s.draft(ctx, r.Draft)
-	gone := errors.Is(err, ErrNoDraft)
-	if err != nil && !gone {
+	removed := errors.Is(err, ErrNoDraft)
+	if err != nil && !removed {
 		return err
 	}
-	acts := append(d.Acts[d.Recorded:len(d.Acts):len(d.Acts)], r.Act)
-	if err := s.log.Append(ctx, pending(acts...)...); err != nil {
+	entries := append(d.Acts[d.Recorded:len(d.Acts):len(d.Acts)], r.Act)
+	if err := s.log.Append(ctx, pending(entries...)...); err != nil {
 		return err
 	}
-	if gone {
+	if removed {
 		return nil
 	}
 	return s.remove(ctx, r.Draft, version)
@@ -46,8 +46,8 @@
 	return s.settleDraft(ctx, d, o.Version)
 }
 
-// settleDraft records the acts of a draft that are not known to stand in the
-// trail, and removes a retired draft.
+// settleDraft records the audit entries of a draft that are not known to be in the audit trail, and
+// removes a retired draft.
 func (s *Store) settleDraft(ctx context.Context, d publication.Draft, version store.Version) error {
 	if d.Recorded < len(d.Acts) {
 		if err := s.log.Append(ctx, pending(d.Acts[d.Recorded:]...)...); err != nil {
@@ -67,15 +67,15 @@
 	}
 	_, err = s.platform.Put(ctx, store.PurposeProfile, DraftPrefix+d.ID, value, version)
 	if errors.Is(err, store.ErrNoAnswer) {
-		// The mark only saves the next command some reads.
+		// Recorded only saves the next command some reads, so its loss does no harm.
 		return nil
 	}
 	return ignoreRace(err)
 }
 
-// remove deletes a draft whose acts are recorded. Whoever changed it meanwhile
-// settles it. A lost answer is resolved by deleting the same version again: it
-// is gone, or goes now, and a later draft has another version.
+// remove deletes a draft whose audit entries are recorded. A command that changed the draft meanwhile
+// settles it itself. A lost answer is resolved by deleting the same version again: the retry finds
+// the draft absent or deletes it, and cannot delete a later draft, which has another version.
 func (s *Store) remove(ctx context.Context, id string, version store.Version) error {
 	for {
 		err := s.platform.Delete(ctx, store.PurposeProfile, DraftPrefix+id, version)
@@ -88,7 +88,8 @@
 	}
 }
 
-// ignoreRace forgives that another command was first.
+// ignoreRace returns nil for an error which shows that another command changed or removed the object
+// first.
 func ignoreRace(err error) error {
 	var conflict *store.ConflictError
 	if errors.As(err, &conflict) || errors.Is(err, store.ErrNotFound) {
--- a/publication/store/steps.go
+++ b/publication/store/steps.go
@@ -13,14 +13,14 @@
 	"endivemoor.example/endivemoor/store/readback"
 )
 
-// By is who takes a step and why.
+// Attribution names the actor of a step and the actor's reason.
 type By struct {
 	Actor  string
 	Reason string
 }
 
-// Create checks a text and, if nothing refuses it, stores it as a draft.
-// Findings are returned in any case.
+// Create checks a text and, unless a finding refuses it, stores it as a draft. It returns the
+// findings in both cases.
 func (s *Store) Create(ctx context.Context, by By, file string, text []byte) (publication.Draft, finding.Findings, error) {
 	step, current, err := s.begin(ctx, by)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return d, findings, s.write(ctx, d, 0)
 }
 
-// Review records a reviewer's word on a draft against the record in force.
+// Review records a reviewer's approval of a draft as the replacement of the record in force.
 func (s *Store) Review(ctx context.Context, by By, id string, accepted []string) (publication.Draft, error) {
 	step, current, err := s.begin(ctx, by)
 	if err != nil {
@@ -80,7 +80,8 @@
 	return d, s.write(ctx, d, version)
 }
 
-// begin recovers what an earlier command left behind, and prepares a step.
+// begin completes what an interrupted command left undone, and prepares a step. It also returns the
+// record in force.
 func (s *Store) begin(ctx context.Context, by By) (publication.Step, *publication.Record, error) {
 	var none publication.Step
 	if !s.guards.Out(GuardRecover) {
@@ -96,22 +97,22 @@
 	if err != nil {
 		return none, nil, err
 	}
-	mark := publication.Mark{Time: s.now().UTC(), Since: since}
-	return publication.Step{Actor: by.Actor, Reason: by.Reason, ID: s.newID(), Act: mark, Guards: s.guards}, current, nil
+	at := publication.Mark{Time: s.now().UTC(), Since: since}
+	return publication.Step{Actor: by.Actor, Reason: by.Reason, ID: s.newID(), Act: at, Guards: s.guards}, current, nil
 }
 
-// write stores a draft after a step, with the step's act in it, and then
-// records the act. When the recording fails the step stands all the same, and
-// the next command records it.
+// write stores a draft after a step, together with the step's audit entry, and then appends the entry
+// to the audit trail. If the append fails, the step remains in effect and the next command appends
+// the entry.
 func (s *Store) write(ctx context.Context, d publication.Draft, expect store.Version) error {
 	value, err := json.Marshal(d)
 	if err != nil {
 		return errors.Wrap(err, "encode draft")
 	}
-	own := d.Acts[len(d.Acts)-1].ID
+	entryID := d.Acts[len(d.Acts)-1].ID
 	r, err := readback.Put(ctx, s.platform, readback.Write{
 		Purpose: store.PurposeProfile, Key: DraftPrefix + d.ID, Value: value, Expect: expect, Pause: s.pause,
-		Mine: func(o store.Object) bool { return draftHasAct(o, own) && !s.guards.Out(GuardReadBack) },
+		Mine: func(o store.Object) bool { return draftHasEntry(o, entryID) && !s.guards.Out(GuardReadBack) },
 	})
 	switch r.Outcome {
 	case readback.Won:
@@ -125,8 +126,8 @@
 	}
 }
 
-// settleWritten records the acts of the draft as it stands now. The step was
-// accepted, so a store that fails only here does not fail the step.
+// settleWritten records the audit entries of the draft in o, as last read. Its errors from the store
+// are ignored because the step has already taken effect.
 func (s *Store) settleWritten(ctx context.Context, o store.Object) error {
 	var d publication.Draft
 	if err := json.Unmarshal(o.Value, &d); err != nil {
@@ -136,20 +137,20 @@
 	return nil
 }
 
-func draftHasAct(o store.Object, id string) bool {
+func draftHasEntry(o store.Object, id string) bool {
 	var d publication.Draft
 	if json.Unmarshal(o.Value, &d) != nil {
 		return false
 	}
-	for _, a := range d.Acts {
-		if a.ID == id {
+	for _, e := range d.Acts {
+		if e.ID == id {
 			return true
 		}
 	}
 	return false
 }
 
-// lostDraft tells who changed the draft first.
+// lostDraft returns the error of a step that lost a race. It names the competing change of the draft.
 func lostDraft(id string, o store.Object) error {
 	var d publication.Draft
 	if o.Version == 0 || json.Unmarshal(o.Value, &d) != nil || len(d.Acts) == 0 {
--- a/publication/store/store.go
+++ b/publication/store/store.go
@@ -30,11 +30,11 @@
 
 const idBytes = 6
 
-// ErrNoDraft says that no open draft has the ID.
+// ErrNoDraft reports that no open draft has the ID.
 var ErrNoDraft = errors.New("no such open draft")
 
-// UnknownError says that a change was sent and the store stopped answering: it
-// may have taken effect. Asking for the draft or the status later tells.
+// UnknownError reports that a change was sent and the store stopped answering, so that the change may
+// have taken effect. Reading the draft or the status later resolves the doubt.
 type UnknownError struct {
 	What  string
 	Cause error
@@ -55,46 +55,46 @@
 	now      func() time.Time
 	pause    time.Duration
 	newID    func() string
-	// guards are taken out by tests only.
+	// guards is set by tests only, to disable guards.
 	guards guard.Set
 }
 
-// Guards that a test may take out.
+// Guards that a test can disable.
 const (
-	// GuardReadBack judges by the act what became of an update whose answer
-	// was lost.
+	// GuardReadBack determines the outcome of an update whose answer was lost by the audit entry
+	// that the object carries.
 	GuardReadBack guard.Name = "publication/read-back"
 	// GuardSettle settles a record before the next one replaces it.
 	GuardSettle guard.Name = "publication/settle-before-replace"
-	// GuardArchiveLast writes the archive, which says that a record is settled,
-	// only after its audit entry.
+	// GuardArchiveLast archives a record, which marks it as settled, only after its audit entry is
+	// recorded.
 	GuardArchiveLast guard.Name = "publication/archive-last"
-	// GuardOvertaken tells an overtaken publish from a lost one.
+	// GuardOvertaken distinguishes a publish that won and was replaced from one that lost.
 	GuardOvertaken guard.Name = "publication/overtaken"
-	// GuardRecover finishes at each command what an earlier one left.
+	// GuardRecover completes, at the start of each command, what an interrupted one left undone.
 	GuardRecover guard.Name = "publication/recover"
 )
 
-// New returns a store in the platform. now gives the wall clock.
+// New returns a Store on the platform's object store. now returns the wall-clock time.
 func New(p store.Store, now func() time.Time) *Store {
 	return &Store{platform: p, log: auditlog.New(p), now: now, pause: readback.DefaultPause, newID: NewID}
 }
 
-// WithPause returns the store with another pause between tries.
+// WithPause returns a copy of the store that pauses for d between retries.
 func (s *Store) WithPause(d time.Duration) *Store {
 	next := *s
 	next.log, next.pause = s.log.WithPause(d), d
 	return &next
 }
 
-// WithIDs returns the store with another source of IDs, which must not repeat.
+// WithIDs returns a copy of the store that takes its IDs from newID, which must not repeat them.
 func (s *Store) WithIDs(newID func() string) *Store {
 	next := *s
 	next.newID = newID
 	return &next
 }
 
-// Compile parses a record into the set that requests use.
+// Compile parses a record's text into a profile.Set. It returns nil for a nil record.
 func Compile(r *publication.Record) (*profile.Set, error) {
 	if r == nil {
 		return nil, nil
@@ -108,7 +108,7 @@
 	return set, nil
 }
 
-// Current returns the record in force, nil before the first.
+// Current returns the record in force, or nil before the first publish.
 func (s *Store) Current(ctx context.Context) (*publication.Record, error) {
 	r, _, err := s.current(ctx)
 	return r, err
@@ -126,7 +126,7 @@
 	return r, o.Version, err
 }
 
-// Set returns the archived record of a generation, nil if it is not there.
+// Set returns the archived record of a generation, or nil if there is none.
 func (s *Store) Set(ctx context.Context, g profile.Generation) (*publication.Record, error) {
 	o, err := s.platform.Get(ctx, store.PurposeProfile, setKey(g))
 	if errors.Is(err, store.ErrNotFound) {
@@ -140,7 +140,7 @@
 
 func setKey(g profile.Generation) string { return fmt.Sprintf("%s%010d", SetPrefix, g) }
 
-// History returns up to n records, the newest first.
+// History returns up to n records, newest first.
 func (s *Store) History(ctx context.Context, n int) ([]*publication.Record, error) {
 	r, err := s.Current(ctx)
 	var out []*publication.Record
@@ -188,8 +188,7 @@
 	return d, o.Version, errors.Wrapf(err, "draft %s", id)
 }
 
-// Changes returns what a text would change of the record in force, with the
-// findings of the text.
+// Changes returns the changes from the record in force to the text, and the findings of the text.
 func (s *Store) Changes(ctx context.Context, file string, text []byte) ([]diff.Change, finding.Findings, error) {
 	current, err := s.Current(ctx)
 	if err != nil {
@@ -211,10 +210,10 @@
 	return diff.Sets(before, next), nil
 }
 
-// NewID returns a random ID for a draft or an act.
+// NewID returns a random ID for a draft or an audit entry.
 func NewID() string {
 	var b [idBytes]byte
-	// Read never fails: the runtime ends the process if it could.
+	// rand.Read never returns an error: it crashes the program instead.
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
--- a/publication/store/store_test.go
+++ b/publication/store/store_test.go
@@ -35,14 +35,14 @@
 
 func open(p store.Store) *Store { return New(p, noon).WithPause(time.Millisecond) }
 
-// without opens the store with some guards taken out.
+// without opens the store with the guards given disabled.
 func without(p store.Store, guards guard.Set) *Store {
 	s := open(p)
 	s.guards = guards
 	return s
 }
 
-// reviewed leaves a reviewed draft of text by the author.
+// reviewed stores a reviewed draft of text by the author and returns its ID.
 func reviewed(t *testing.T, p store.Store, author By, text string) string {
 	t.Helper()
 	ctx := context.Background()
@@ -59,7 +59,7 @@
 	require.NoError(t, err)
 }
 
-// trail returns the trail's actions in order, and what Verify says of it.
+// trail returns the actions in the audit trail, in order, and the faults that audit.Verify finds.
 func trail(t *testing.T, p store.Store) ([]audit.Action, []audit.Fault) {
 	t.Helper()
 	entries, err := auditlog.New(p).All(context.Background())
@@ -78,7 +78,7 @@
 	return out
 }
 
-func TestLifeOfAChange(t *testing.T) {
+func TestPublishAndRetireAreRecorded(t *testing.T) {
 	ctx := context.Background()
 	p := platformd.NewStore()
 	publishFirst(t, p)
@@ -106,53 +106,53 @@
 	}, actions(t, p))
 }
 
-// Two operators publish at the same moment. One wins; the other is told who
-// and what, and nothing of its own is in force. Half of all answers are lost.
-func TestOfTwoPublishersOneWinsAndTheOtherLearnsIt(t *testing.T) {
+// Two operators publish concurrently while half of all answers are lost. One wins; the other receives
+// an error that names the winner, and its draft is not in force.
+func TestConcurrentPublishesHaveOneWinner(t *testing.T) {
 	for seed := range uint64(20) {
-		require.NoError(t, race(t, seed, nil), "seed %d", seed)
+		require.NoError(t, checkRace(t, seed, nil), "seed %d", seed)
 	}
 }
 
-// race lets two publish at once and judges what they were told.
-func race(t *testing.T, seed uint64, guards guard.Set) error {
+// checkRace runs two publishes concurrently and checks their results.
+func checkRace(t *testing.T, seed uint64, guards guard.Set) error {
 	t.Helper()
 	p := platformd.NewStore()
 	publishFirst(t, p)
 	ids := []string{reviewed(t, p, aoife, secondText), reviewed(t, p, ciara, thirdText)}
 	p.SetFaults(platformd.Faults{LoseProbability: 0.5, Seed: seed})
-	told := make([]error, 2)
+	results := make([]error, 2)
 	var wg sync.WaitGroup
 	for i, by := range []By{aoife, ciara} {
-		wg.Go(func() { _, told[i] = without(p, guards).Publish(context.Background(), by, ids[i]) })
+		wg.Go(func() { _, results[i] = without(p, guards).Publish(context.Background(), by, ids[i]) })
 	}
 	wg.Wait()
 	p.SetFaults(platformd.Faults{})
 	current, err := open(p).Current(context.Background())
 	require.NoError(t, err)
 	winner := 0
-	if told[0] != nil {
+	if results[0] != nil {
 		winner = 1
 	}
 	var refused *publication.RefusedError
 	switch {
-	case told[winner] != nil:
-		return errors.Wrap(told[winner], "both were refused")
-	case !errors.As(told[1-winner], &refused) || refused.Rule != publication.RuleSuperseded:
-		return errors.Errorf("the loser was told %v", told[1-winner])
+	case results[winner] != nil:
+		return errors.Wrap(results[winner], "both publishes were refused")
+	case !errors.As(results[1-winner], &refused) || refused.Rule != publication.RuleSuperseded:
+		return errors.Errorf("the losing publish returned %v, want a refusal as superseded", results[1-winner])
 	case refused.Winner.Draft != ids[winner] || current.Draft != ids[winner] || current.Generation != 2:
 		return errors.Errorf("draft %s won, generation %d of %s is in force", ids[winner], current.Generation, current.Draft)
 	}
 	return nil
 }
 
-// A publish takes effect, its answer is lost, and before it can be read back
-// the next publish replaces it. It was in force: "refused" would be untrue.
+// A publish takes effect, its answer is lost, and the next publish replaces its record before it can
+// be read back. The record was in force, so the publish must not report that it was refused.
 func TestOvertakenPublishIsStillAccepted(t *testing.T) {
-	require.NoError(t, overtaken(t, nil))
+	require.NoError(t, checkOvertaken(t, nil))
 }
 
-func overtaken(t *testing.T, guards guard.Set) error {
+func checkOvertaken(t *testing.T, guards guard.Set) error {
 	t.Helper()
 	ctx := context.Background()
 	p := platformd.NewStore()
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// overtake loses the answer of the first publish and lets another one follow.
+// overtake runs a second publish after the first one took effect, and loses the answer of the first.
 type overtake struct {
 	*platformd.Store
 	t    *testing.T
@@ -188,7 +188,7 @@
 	return 0, store.ErrNoAnswer
 }
 
-// The store is down: a publish is refused for certain and leaves no trace.
+// While the store is down, a publish fails with the certainty that it had no effect.
 func TestPublishInAnOutageIsNotAccepted(t *testing.T) {
 	ctx := context.Background()
 	p := platformd.NewStore()
