--- a/admission/drain.go
+++ b/admission/drain.go
@@ -10,20 +10,20 @@
 const (
 	// drainGain is the weight of a new interval in the moving average.
 	drainGain = 0.1
-	// defaultRetry is the time to come back while nothing is measured.
+	// defaultRetry is the retry-after time before the drain rate is measured.
 	defaultRetry = 250 * time.Millisecond
 	minRetry     = 20 * time.Millisecond
 	maxRetry     = 30 * time.Second
-	// retryJitter is the random part added, as a share of the time: requests
-	// refused together do not come back together.
+	// retryJitter is the largest random addition, as a fraction of the retry-after time. It spreads
+	// the retries of requests that are refused at the same time.
 	retryJitter = 0.5
 )
 
-// drainRate measures the time between two finished requests while others wait.
+// drainRate measures the average time between two finished requests while others wait.
 type drainRate struct {
 	last     clock.Time
 	running  bool
-	interval float64 // nanoseconds; 0 means "not measured"
+	interval float64 // nanoseconds; 0 if not measured
 }
 
 // start begins an interval after the target was idle.
@@ -32,8 +32,8 @@
 	d.running = true
 }
 
-// done ends an interval. It is measured only while requests wait: otherwise it
-// shows how often requests come, not how fast they could go.
+// done ends an interval and begins the next. Intervals count only while requests wait; otherwise they
+// would measure the arrival rate instead of the target's service rate.
 func (d *drainRate) done(now clock.Time, busy bool) {
 	took := now.Sub(d.last)
 	d.last = now
@@ -47,7 +47,7 @@
 	d.interval += drainGain * (float64(took) - d.interval)
 }
 
-// wait is the expected time until n requests have finished.
+// wait returns the expected time until n requests have finished, and false if it is not measured.
 func (d *drainRate) wait(n int) (time.Duration, bool) {
 	if d.interval == 0 {
 		return 0, false
@@ -55,7 +55,7 @@
 	return time.Duration(d.interval * float64(n)), true
 }
 
-// retryAfter is the time to drain n requests, bounded and with jitter.
+// retryAfter returns the expected time to drain n requests, bounded and with jitter.
 func (d *drainRate) retryAfter(n int, rnd *rand.Rand) time.Duration {
 	t, known := d.wait(n)
 	if !known {
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -7,35 +7,33 @@
 	"endivemoor.example/endivemoor/profile"
 )
 
-// Lane is what a Policy sees of the waiting requests of one kind. It has at
-// least one.
+// Lane describes the waiting requests of one kind to a Policy. There is at least one.
 type Lane struct {
 	Kind *profile.Kind
 	// Len is the number of waiting requests.
 	Len int
-	// HeadArrived and HeadDeadline belong to the request that waits longest.
+	// HeadArrived and HeadDeadline belong to the request that has waited longest.
 	HeadArrived  clock.Time
 	HeadDeadline clock.Time
 }
 
-// Wait is how long the lane's first request has waited.
+// Wait returns how long the lane's first request has waited.
 func (l *Lane) Wait(now clock.Time) time.Duration { return now.Sub(l.HeadArrived) }
 
-// Policy chooses the lane that gets the next free slot: the one with the
-// highest score; between equals the one whose first request came earlier.
+// Policy chooses the lane that gets the next free slot: the one with the highest score and, among
+// equal scores, the one whose first request arrived earliest.
 type Policy interface {
-	// Name is the policy's name in settings and tables.
+	// Name returns the policy's name in settings and tables.
 	Name() string
-	// Score rates a lane at now.
+	// Score returns the score of a lane at now.
 	Score(l *Lane, now clock.Time) float64
 }
 
-// minWorth keeps a kind that is worth nothing from waiting for ever.
+// minWorth is the least worth used in scores. It prevents starvation of a kind whose worth is 0.
 const minWorth = 0.01
 
-// DelayRatio is the head-of-line delay ratio policy. A kind of twice the worth
-// waits half as long, at any mix of arrivals, and none starves: a score grows
-// with the wait without bound.
+// DelayRatio is the head-of-line delay ratio policy. A kind of twice the worth waits half as long, at
+// any mix of arrivals. No kind starves, because its score grows with its wait without bound.
 type DelayRatio struct{}
 
 // Name implements Policy.
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -8,6 +8,7 @@
 	"endivemoor.example/endivemoor/profile"
 )
 
+// waiting is a queued request.
 type waiting struct {
 	ticket   Ticket
 	arrived  clock.Time
@@ -24,13 +25,14 @@
 	return Lane{Kind: l.kind, Len: len(l.items), HeadArrived: head.arrived, HeadDeadline: head.deadline}
 }
 
-// Queue hands out one target's slots. It is not safe for concurrent use.
+// Queue allocates one target's slots to requests. It is not safe for concurrent use.
 type Queue struct {
-	cfg    Config
-	rnd    *rand.Rand
-	slots  Slots
-	drain  drainRate
-	lanes  []*lane
+	cfg   Config
+	rnd   *rand.Rand
+	slots Slots
+	drain drainRate
+	lanes []*lane
+	// spare holds empty lanes for reuse.
 	spare  []*lane
 	queued int
 	inUse  int
@@ -47,20 +49,20 @@
 	}
 }
 
-// Queued is the number of waiting requests.
+// Queued returns the number of waiting requests.
 func (q *Queue) Queued() int { return q.queued }
 
-// InUse is the number of slots taken.
+// InUse returns the number of slots in use.
 func (q *Queue) InUse() int { return q.inUse }
 
-// Limit is the present number of slots.
+// Limit returns the current number of slots.
 func (q *Queue) Limit() int { return q.slots.Limit() }
 
-// SetFleet tells how many live VMs use the target, at least 1. Until it is told
-// the Queue has the target for itself.
+// SetFleetSize sets the number of live VMs that use the target, at least 1. Before the first call,
+// the Queue assumes that no other VM uses the target.
 func (q *Queue) SetFleet(vms int) { q.slots.share(vms) }
 
-// Offer brings a new request of kind k, whose caller waits until deadline.
+// Offer submits a new request of kind k, whose caller waits until deadline.
 func (q *Queue) Offer(now clock.Time, k *profile.Kind, deadline clock.Time) Offered {
 	q.next++
 	ticket := q.next
@@ -84,9 +86,9 @@
 	return Offered{Ticket: ticket, Evicted: evicted}
 }
 
-// Done returns the slot of a granted request of kind k that took latency. The requests
-// that get a slot now are appended to granted and returned. Call Expire first,
-// with the same now: a slot for a request past its deadline is wasted.
+// Done releases the slot of a granted request of kind k that took latency. It appends the requests
+// that get a slot now to granted and returns the result. Call Expire first, with the same now, so
+// that no slot is wasted on a request past its deadline.
 func (q *Queue) Done(now clock.Time, k *profile.Kind, latency time.Duration, granted []Ticket) []Ticket {
 	q.inUse--
 	q.drain.done(now, q.queued > 0)
@@ -94,8 +96,8 @@
 	return q.fill(now, granted)
 }
 
-// Cancel takes a waiting request out, as when its caller went away. It reports
-// whether the request was still waiting.
+// Cancel removes a waiting request, for example after its caller disconnected. It reports whether the
+// request was still waiting.
 func (q *Queue) Cancel(t Ticket) bool {
 	for _, l := range q.lanes {
 		for i := range l.items {
@@ -108,8 +110,7 @@
 	return false
 }
 
-// Expire refuses the waiting requests whose deadline has passed, appending them
-// to out.
+// Expire refuses the waiting requests whose deadline has passed and appends the refusals to out.
 func (q *Queue) Expire(now clock.Time, out []Refusal) []Refusal {
 	for n := len(q.lanes) - 1; n >= 0; n-- {
 		l := q.lanes[n]
@@ -125,11 +126,12 @@
 	return out
 }
 
-// RetryAfter is when a request refused now should come back.
+// RetryAfter returns the time after which a request that is refused now should be retried.
 func (q *Queue) RetryAfter() time.Duration {
 	return q.drain.retryAfter(q.queued+1, q.rnd)
 }
 
+// take marks a free slot as in use.
 func (q *Queue) take(now clock.Time) {
 	q.inUse++
 	if q.inUse == 1 {
@@ -137,7 +139,7 @@
 	}
 }
 
-// fill hands free slots to waiting requests, in the policy's order.
+// fill allocates free slots to waiting requests, in the policy's order.
 func (q *Queue) fill(now clock.Time, granted []Ticket) []Ticket {
 	for q.queued > 0 && q.inUse < q.slots.Limit() {
 		l := q.best(now)
@@ -175,21 +177,21 @@
 	return now.Add(time.Duration(slack * float64(wait))).After(deadline)
 }
 
-// ahead estimates how many waiting requests will be served before a new one of
-// kind k: all of the kinds that are worth as much, and of a lesser one the part
-// that the worths' ratio lets by.
+// ahead estimates the number of waiting requests that will be served before a new one of kind k: all
+// those of kinds with at least its worth, and of each lower kind a fraction equal to the ratio of the
+// worths.
 func (q *Queue) ahead(k *profile.Kind) int {
-	own := max(k.Worth, minWorth)
+	worth := max(k.Worth, minWorth)
 	var n float64
 	for _, l := range q.lanes {
-		part := max(l.kind.Worth, minWorth) / own
-		n += float64(len(l.items)) * min(part, 1)
+		ratio := max(l.kind.Worth, minWorth) / worth
+		n += float64(len(l.items)) * min(ratio, 1)
 	}
 	return int(n)
 }
 
-// evictBelow refuses the newest request of the least worthy lane that is worth
-// less than k, if there is one.
+// evictBelow refuses the newest request of the lane with the lowest worth, if that worth is lower
+// than that of k. Otherwise it returns the zero Refusal.
 func (q *Queue) evictBelow(k *profile.Kind) Refusal {
 	var least *lane
 	for _, l := range q.lanes {
@@ -228,8 +230,8 @@
 	return l
 }
 
-// remove takes item i out of l. An empty lane is put aside: kinds of a retired
-// profile leave nothing behind.
+// remove removes item i from l. A lane that becomes empty moves to q.spare without its kind, so that
+// the Queue keeps no reference to kinds of retired profiles.
 func (q *Queue) remove(l *lane, i int) {
 	l.items = append(l.items[:i], l.items[i+1:]...)
 	q.queued--
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	ms  = clock.Time(time.Millisecond)
-	far = clock.Time(time.Hour)
+	ms = clock.Time(time.Millisecond)
+	// noDeadline is later than the end of every test.
+	noDeadline = clock.Time(time.Hour)
 )
 
 var (
@@ -21,58 +22,59 @@
 	purchase = &profile.Kind{Name: "purchase", Worth: 10}
 )
 
-func TestWorthierKindWaitsLessAndNoneStarves(t *testing.T) {
+func TestHigherWorthWaitsLessWithoutStarvation(t *testing.T) {
 	q := NewQueue(Config{Slots: 1})
-	q.Offer(0, browse, far)
-	old := q.Offer(0, browse, far)
+	q.Offer(0, browse, noDeadline)
+	pageView := q.Offer(0, browse, noDeadline)
 	for i := range clock.Time(30) {
 		now := i * 10 * ms
-		bought := q.Offer(now, purchase, far)
+		bought := q.Offer(now, purchase, noDeadline)
 		granted := q.Done(now+9*ms, browse, 9*time.Millisecond, nil)
 		require.Len(t, granted, 1)
-		if granted[0] == old.Ticket {
-			require.Equal(t, clock.Time(9), i, "ten times the worth, a tenth of the wait")
+		if granted[0] == pageView.Ticket {
+			require.Equal(t, clock.Time(9), i, "ten times the worth must give a tenth of the wait")
 			return
 		}
 		require.LessOrEqual(t, granted[0], bought.Ticket)
 	}
-	t.Fatal("the page view starved")
+	t.Fatal("the page view was not granted a slot in 30 turns")
 }
 
-// busy gives a queue a measured drain of one request in 10 ms.
-func busy(cfg Config) (*Queue, clock.Time) {
+// newBusyQueue returns a queue with a measured drain rate of one request in 10 ms, and the time.
+func newBusyQueue(cfg Config) (*Queue, clock.Time) {
 	cfg.Slots = 1
 	q := NewQueue(cfg)
-	q.Offer(0, browse, far)
+	q.Offer(0, browse, noDeadline)
 	now := clock.Time(0)
 	for range 50 {
-		q.Offer(now, browse, far)
+		q.Offer(now, browse, noDeadline)
 		now += 10 * ms
 		q.Done(now, browse, 10*time.Millisecond, nil)
 	}
 	return q, now
 }
 
-// A target drains one request in 10 ms and twenty wait. A crew tablet that
-// waits 50 ms cannot be served; holding it until then only makes it ask again.
+// A target drains one request in 10 ms and twenty wait. A request with a deadline in 50 ms cannot be
+// served. Failure guarded against: it waits in the queue until its deadline, and its caller then
+// retries.
 func TestHopelessRequestIsRefusedAtOnce(t *testing.T) {
-	q, now := busy(Config{})
+	q, now := newBusyQueue(Config{})
 	for range 20 {
-		require.Equal(t, CauseNone, q.Offer(now, browse, far).Refused.Cause)
+		require.Equal(t, CauseNone, q.Offer(now, browse, noDeadline).Refused.Cause)
 	}
 	got := q.Offer(now, browse, now+50*ms)
 	require.Equal(t, CauseHopeless, got.Refused.Cause)
 	require.GreaterOrEqual(t, got.Refused.RetryAfter, 200*time.Millisecond)
 	require.LessOrEqual(t, got.Refused.RetryAfter, 320*time.Millisecond)
 	require.Equal(t, CauseNone, q.Offer(now, purchase, now+100*ms).Refused.Cause,
-		"a purchase passes most of the page views")
+		"a purchase is served before most of the page views")
 }
 
-func TestFullQueueRefusesTheLeastWorthy(t *testing.T) {
-	q, now := busy(Config{MaxQueued: 2})
-	first, last := q.Offer(now, browse, far), q.Offer(now, browse, far)
-	require.Equal(t, CauseFull, q.Offer(now, browse, far).Refused.Cause)
-	bought := q.Offer(now, purchase, far)
+func TestFullQueueRefusesTheLowestWorth(t *testing.T) {
+	q, now := newBusyQueue(Config{MaxQueued: 2})
+	first, last := q.Offer(now, browse, noDeadline), q.Offer(now, browse, noDeadline)
+	require.Equal(t, CauseFull, q.Offer(now, browse, noDeadline).Refused.Cause)
+	bought := q.Offer(now, purchase, noDeadline)
 	require.Equal(t, CauseNone, bought.Refused.Cause)
 	require.Equal(t, CauseEvicted, bought.Evicted.Cause)
 	require.Equal(t, last.Ticket, bought.Evicted.Ticket)
@@ -81,36 +83,35 @@
 }
 
 func TestExpiredRequestIsRefusedAndCostsNoSlot(t *testing.T) {
-	q, now := busy(Config{})
-	late := q.Offer(now, browse, now+15*ms)
-	good := q.Offer(now, browse, far)
+	q, now := newBusyQueue(Config{})
+	expired := q.Offer(now, browse, now+15*ms)
+	waiting := q.Offer(now, browse, noDeadline)
 	refused := q.Expire(now+15*ms, nil)
 	require.Len(t, refused, 1)
-	require.Equal(t, late.Ticket, refused[0].Ticket)
-	require.Equal(t, []Ticket{good.Ticket}, q.Done(now+15*ms, browse, time.Millisecond, nil))
+	require.Equal(t, expired.Ticket, refused[0].Ticket)
+	require.Equal(t, []Ticket{waiting.Ticket}, q.Done(now+15*ms, browse, time.Millisecond, nil))
 }
 
-// The rest of the fleet floods the target. This proxy sees only that answers
-// take ten times as long; its share of the slots must shrink, and grow again
-// when the flood ends.
+// The other proxies overload the target. This proxy observes only that answers take ten times as
+// long. Its limit must shrink, and grow again after the overload.
 func TestSlotsFollowTheLatency(t *testing.T) {
 	s := newSlots(3, false)
 	s.share(8)
-	show := func(k *profile.Kind, latency time.Duration) int {
+	limitAfter := func(k *profile.Kind, latency time.Duration) int {
 		for range 200 {
 			s.observe(k, latency, true)
 		}
 		return s.Limit()
 	}
-	require.Equal(t, 3, show(browse, 5*time.Millisecond))
-	require.Equal(t, 1, show(browse, 50*time.Millisecond))
+	require.Equal(t, 3, limitAfter(browse, 5*time.Millisecond))
+	require.Equal(t, 1, limitAfter(browse, 50*time.Millisecond))
 	s.share(2)
-	require.Equal(t, 2, show(browse, 50*time.Millisecond), "never below the share")
-	require.Equal(t, 3, show(browse, 5*time.Millisecond))
+	require.Equal(t, 2, limitAfter(browse, 50*time.Millisecond), "the limit must not fall below the share")
+	require.Equal(t, 3, limitAfter(browse, 5*time.Millisecond))
 }
 
-// By night long purchases follow the short page views of the day. The mean
-// latency grows tenfold though the target is idle; the limit must stay.
+// At night, long purchases replace the short page views of the day. The mean latency grows tenfold
+// although the target is idle, and the limit must not change.
 func TestSlotsDoNotMistakeAChangeOfMixForASlowTarget(t *testing.T) {
 	s := newSlots(3, false)
 	s.share(8)
@@ -123,15 +124,15 @@
 	require.Equal(t, 3, s.Limit())
 }
 
-// Any order of events keeps the books: slots in use within the limit, every
-// request granted, refused or cancelled exactly once.
+// In any order of events, each request is granted or refused exactly once, and the counts of used
+// slots and waiting requests are correct.
 func TestEveryRequestEndsExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue(Config{Slots: 2, MaxQueued: 5})
 		kinds := []*profile.Kind{browse, purchase}
 		waiting, running := map[Ticket]bool{}, 0
 		end := func(x Ticket) {
-			require.True(t, waiting[x], "ended twice or never offered")
+			require.True(t, waiting[x], "the request ended twice or was never queued")
 			delete(waiting, x)
 		}
 		now := clock.Time(0)
@@ -170,7 +171,7 @@
 	q := NewQueue(Config{})
 	b.ReportAllocs()
 	for b.Loop() {
-		q.Offer(0, browse, far)
+		q.Offer(0, browse, noDeadline)
 		q.Done(0, browse, time.Millisecond, nil)
 	}
 }
--- a/admission/slots.go
+++ b/admission/slots.go
@@ -8,82 +8,82 @@
 )
 
 const (
-	// kindGain is the weight of a new latency in a kind's average, and
-	// kindWarm how many are seen before the average is taken as a base.
+	// kindGain is the weight of a new latency in a kind's average.
 	kindGain = 0.05
-	kindWarm = 40
-	// loadGain is the weight of a new ratio in the load.
+	// kindWarmUp is the number of latencies after which a kind's average is used as its baseline.
+	kindWarmUp = 40
+	// loadGain is the weight of a new latency ratio in the load.
 	loadGain = 0.05
-	// baseRise lets a kind's lowest average creep up, so that a target that has
-	// become slower for good is not throttled for ever.
-	baseRise = 0.0005
-	// tolerance is the load above which the limit falls. The average of forty
-	// exponential times falls to about 0.7 of its mean now and then, so that an
-	// idle target shows a load of about 1.4.
-	tolerance = 3
-	// shrink is the factor of a fall.
-	shrink = 0.97
-	// maxKinds bounds the kinds that are remembered; retired ones go with all
-	// others when it is passed.
+	// baselineRise is the relative increase of a kind's baseline with each latency, so that a target
+	// that has become permanently slower is not throttled forever.
+	baselineRise = 0.0005
+	// maxLoad is the load above which the limit is reduced. The average of forty exponentially
+	// distributed latencies occasionally falls to about 0.7 of its mean, so that an idle target
+	// shows a load of about 1.4.
+	maxLoad = 3
+	// shrinkFactor is the factor by which the limit is reduced.
+	shrinkFactor = 0.97
+	// maxKinds bounds the number of kinds with latency state. When it is exceeded, the state of all
+	// kinds is cleared, including that of retired ones.
 	maxKinds = 64
 )
 
-// Slots is a limit of requests at once that adapts to the latency they show.
+// Slots is a concurrency limit that adapts to the latency of requests.
 //
-// The target's slots are known but shared by the whole fleet, and this proxy
-// cannot see what the others send. When they send much, requests take longer
-// than their kind does at best, and the limit falls, to no less than one; when
-// they do not, and others wait, it grows again by one for each limit's worth of
-// answers. It never passes the known slots: beyond them requests would wait in
-// the target, in order of arrival, where worth and deadlines count for nothing.
-// It never falls below this proxy's share of them among the live VMs: latency
-// is a poor witness, and an error must not leave slots idle that nobody uses.
+// The number of the target's slots is known, but the whole fleet shares them and this proxy cannot
+// see the load of the others. If that load is high, requests take longer than the baseline of their
+// kind, and the limit shrinks, to no less than one. Otherwise, while requests wait, the limit grows
+// by one for each limit's worth of answers. It never exceeds the known slots, because further
+// requests would wait inside the target in order of arrival, without regard to worth and deadlines.
+// It never falls below this proxy's share of the slots among the live VMs, because latency is an
+// unreliable signal and an error must not leave slots idle that no other VM uses.
 //
-// Each latency is taken as a ratio to the lowest average of its own kind.
-// Without that a change of the mix, such as from page views by day to purchases
-// by night, looks like a target that has become slow.
+// Each latency is compared with the lowest average of its own kind. Otherwise a change of the mix,
+// such as from page views by day to purchases by night, would look like a slow target.
 type Slots struct {
-	limit float64
-	least float64
-	most  float64
+	limit    float64
+	minLimit float64
+	maxLimit float64
+	// load is the moving average of the ratios of latencies to the baselines of their kinds.
 	load  float64
 	fixed bool
 	kinds map[*profile.Kind]*kindLatency
 }
 
 type kindLatency struct {
-	mean, base float64 // nanoseconds
-	seen       int
+	mean, baseline float64 // nanoseconds
+	samples        int
 }
 
 func newSlots(known int, fixed bool) Slots {
 	return Slots{
-		limit: float64(known),
-		least: float64(known),
-		most:  float64(known),
-		fixed: fixed,
-		kinds: make(map[*profile.Kind]*kindLatency),
+		limit:    float64(known),
+		minLimit: float64(known),
+		maxLimit: float64(known),
+		fixed:    fixed,
+		kinds:    make(map[*profile.Kind]*kindLatency),
 	}
 }
 
-// Limit is the present number of requests at once, at least 1.
+// Limit returns the current number of concurrent requests, at least 1.
 func (s *Slots) Limit() int { return int(s.limit) }
 
-// observe takes the latency of a finished request; busy says that others wait.
+// observe records the latency of a finished request. busy reports whether other requests wait.
 func (s *Slots) observe(k *profile.Kind, latency time.Duration, busy bool) {
 	if latency <= 0 || s.fixed {
 		return
 	}
 	s.load += loadGain * (s.ratio(k, float64(latency)) - s.load)
 	switch {
-	case s.load > tolerance:
-		s.limit = max(s.least, s.limit*shrink)
+	case s.load > maxLoad:
+		s.limit = max(s.minLimit, s.limit*shrinkFactor)
 	case busy:
-		s.limit = min(s.most, s.limit+1/s.limit)
+		s.limit = min(s.maxLimit, s.limit+1/s.limit)
 	}
 }
 
-// ratio rates a latency against the kind's lowest average.
+// ratio adds a latency to the kind's average and returns its ratio to the kind's baseline. During
+// warm-up it returns 1.
 func (s *Slots) ratio(k *profile.Kind, x float64) float64 {
 	l := s.kinds[k]
 	if l == nil {
@@ -93,18 +93,18 @@
 		l = &kindLatency{}
 		s.kinds[k] = l
 	}
-	l.seen++
-	l.mean += max(kindGain, 1/float64(l.seen)) * (x - l.mean)
-	if l.seen <= kindWarm {
-		l.base = l.mean
+	l.samples++
+	l.mean += max(kindGain, 1/float64(l.samples)) * (x - l.mean)
+	if l.samples <= kindWarmUp {
+		l.baseline = l.mean
 		return 1
 	}
-	l.base = min(l.mean, l.base*(1+baseRise))
-	return x / l.base
+	l.baseline = min(l.mean, l.baseline*(1+baselineRise))
+	return x / l.baseline
 }
 
 // share sets the number of live VMs that use the target.
 func (s *Slots) share(vms int) {
-	s.least = max(1, math.Ceil(s.most/float64(max(vms, 1))))
-	s.limit = max(s.limit, s.least)
+	s.minLimit = max(1, math.Ceil(s.maxLimit/float64(max(vms, 1))))
+	s.limit = max(s.limit, s.minLimit)
 }
--- a/admission/types.go
+++ b/admission/types.go
@@ -5,19 +5,19 @@
 // Ticket identifies a request within its Queue.
 type Ticket uint64
 
-// Cause says why a request was refused. The zero value means that it was not.
+// Cause is the reason for a refusal. The zero value means that the request was not refused.
 type Cause uint8
 
 const (
 	// CauseNone means that the request was not refused.
 	CauseNone Cause = iota
-	// CauseHopeless means that its deadline is nearer than the expected wait.
+	// CauseHopeless means that the request would probably miss its deadline in the queue.
 	CauseHopeless
 	// CauseFull means that the queue is full.
 	CauseFull
-	// CauseEvicted means that it made room for a worthier request.
+	// CauseEvicted means that the request was removed to make room for one of higher worth.
 	CauseEvicted
-	// CauseExpired means that its deadline passed while it waited.
+	// CauseExpired means that the request's deadline passed while it waited.
 	CauseExpired
 )
 
@@ -37,38 +37,36 @@
 	}
 }
 
-// Refusal is the final answer to a request that will not run.
+// Refusal is the final answer to a request that is not run.
 type Refusal struct {
 	Ticket Ticket
 	Cause  Cause
-	// RetryAfter is when to come back: the time to drain what is queued, with
-	// jitter.
+	// RetryAfter is the expected time to drain the queue, with jitter.
 	RetryAfter time.Duration
 }
 
-// Offered is the answer to a new request: it has a slot, it waits, or it is
-// refused.
+// Offered is the answer to a new request: it is granted a slot, it waits, or it is refused.
 type Offered struct {
 	Ticket  Ticket
 	Granted bool
-	// Refused is set if the cause is not CauseNone.
+	// Refused is the refusal of the request, if its cause is not CauseNone.
 	Refused Refusal
-	// Evicted is another, waiting request that is refused to make room; set if
-	// its cause is not CauseNone.
+	// Evicted is the refusal of a waiting request to make room for this one, if its cause is not
+	// CauseNone.
 	Evicted Refusal
 }
 
-// Config sets a Queue.
+// Config configures a Queue.
 type Config struct {
-	// Slots is the target's known number of statements at once; default 3.
+	// Slots is the known number of statements that the target runs concurrently; default 3.
 	Slots int
 	// MaxQueued bounds the waiting requests; default 64.
 	MaxQueued int
 	// Policy defaults to DelayRatio.
 	Policy Policy
-	// FixedSlots keeps the number of slots as it is set, whatever the latency.
+	// FixedSlots disables the adaptation of the number of slots to the latency.
 	FixedSlots bool
-	// Seed feeds the jitter.
+	// Seed seeds the jitter.
 	Seed uint64
 }
 
@@ -88,7 +86,7 @@
 const (
 	defaultSlots     = 3
 	defaultMaxQueued = 64
-	// slack is the part of the expected wait that must fit before a deadline:
-	// the estimate is a mean, and a refusal that was not needed costs worth.
+	// slack is the fraction of the expected wait that must fit before a deadline. It is below 1
+	// because the estimate is a mean and an unnecessary refusal loses a request that could be served.
 	slack = 0.8
 )
