--- a/admission/limiter/limiter.go
+++ b/admission/limiter/limiter.go
@@ -1,11 +1,10 @@
-// Package limiter drives admission with blocking calls: Acquire returns when
-// the request has a slot, or at once with the final answer that it will not
-// run.
+// Package limiter provides blocking calls for package admission. Begin with Limiter: its Acquire
+// returns when the request has a slot, or with a final refusal as soon as it is known that the request
+// will not run.
 //
-// There is one gate for each target, with its own lock, queue and slots. A
-// waiting request sleeps on its own channel; the one that returns a slot wakes
-// it. On the path where a slot is free nothing is allocated: the release
-// functions are made once for each slot and used again.
+// There is one gate for each target, with its own lock, queue and slots. A waiting request blocks on
+// its own channel, to which the request that releases a slot sends. If a slot is free, Acquire does
+// not allocate memory, because the release functions are created once for each slot and reused.
 package limiter
 
 import (
@@ -20,41 +19,40 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// Recorder is told of refusals, for metrics. It may be nil.
+// Recorder counts refusals for metrics.
 type Recorder interface {
 	// Refused counts a refusal of a request of the kind at the server.
 	Refused(server target.ID, kind string, cause admission.Cause)
 }
 
-// Config sets a Limiter.
+// Config configures a Limiter.
 type Config struct {
-	// Queue is the setting of each target's queue.
+	// Queue configures each target's queue.
 	Queue admission.Config
-	// Clock gives the time; it must be set.
+	// Clock is required.
 	Clock clock.Clock
-	// Fleet returns the number of live VMs that use the targets; nil means that
-	// this one is alone.
+	// FleetSize returns the number of live VMs that use the targets. If it is nil, this VM is
+	// assumed to be the only one.
 	Fleet func() int
 	// Recorder may be nil.
 	Recorder Recorder
 }
 
-// Limiter hands out the slots of all targets. It is safe for concurrent use.
+// Limiter allocates the slots of all targets. It is safe for concurrent use.
 type Limiter struct {
 	cfg   Config
 	mu    sync.RWMutex
 	gates map[target.ID]*gate
 }
 
-// New returns a Limiter without targets; a target is added by its first use.
+// New returns a Limiter without targets. A target is added on its first use.
 func New(cfg Config) *Limiter {
 	return &Limiter{cfg: cfg, gates: make(map[target.ID]*gate)}
 }
 
-// Acquire waits for a slot at the server for a request of kind k whose caller
-// waits until deadline. The returned release must be called exactly once, when
-// the request has ended. The error's outcome is always "not run": nothing was
-// sent yet.
+// Acquire waits for a slot at the server for a request of kind k whose caller waits until deadline.
+// The returned function releases the slot and must be called exactly once, after the request has
+// ended. The outcome of an error is always "not run" because nothing was sent yet.
 func (l *Limiter) Acquire(ctx context.Context, server target.ID, k *profile.Kind, deadline clock.Time) (func(), *outcome.Error) {
 	return l.gate(server).acquire(ctx, k, deadline)
 }
@@ -88,7 +86,7 @@
 	return g
 }
 
-// gate is one target's queue with those who wait on it.
+// gate is one target's queue with the channels of the waiting requests.
 type gate struct {
 	server target.ID
 	cfg    Config
@@ -101,7 +99,7 @@
 	expired []admission.Refusal
 }
 
-// slot is one granted request; it is used again after its release.
+// slot is the state of one granted request. It is reused after its release.
 type slot struct {
 	gate    *gate
 	kind    *profile.Kind
@@ -136,30 +134,30 @@
 		return nil, g.refusal(k, offer.Refused)
 	}
 	if offer.Evicted.Cause != admission.CauseNone {
-		g.wake(offer.Evicted.Ticket, offer.Evicted)
+		g.notify(offer.Evicted.Ticket, offer.Evicted)
 	}
-	woken := make(chan admission.Refusal, 1)
-	g.waiters[offer.Ticket] = woken
+	answers := make(chan admission.Refusal, 1)
+	g.waiters[offer.Ticket] = answers
 	g.mu.Unlock()
-	return g.await(ctx, k, offer.Ticket, woken, deadline.Sub(now))
+	return g.await(ctx, k, offer.Ticket, answers, deadline.Sub(now))
 }
 
-// await sleeps until the request is granted, refused, given up by its caller or
-// past its deadline.
-func (g *gate) await(ctx context.Context, k *profile.Kind, t admission.Ticket, woken chan admission.Refusal, left time.Duration) (func(), *outcome.Error) {
-	timer := time.NewTimer(left)
+// await blocks until the request is granted or refused, its caller cancels it, or the timeout
+// expires, which is the time to its deadline.
+func (g *gate) await(ctx context.Context, k *profile.Kind, t admission.Ticket, answers chan admission.Refusal, timeout time.Duration) (func(), *outcome.Error) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case answer := <-woken:
+	case answer := <-answers:
 		return g.answer(k, answer)
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	g.mu.Lock()
 	if !g.queue.Cancel(t) {
-		// The answer came at the same moment: it is in the channel.
+		// The request was granted or refused concurrently: its answer is in the channel.
 		g.mu.Unlock()
-		return g.answer(k, <-woken)
+		return g.answer(k, <-answers)
 	}
 	delete(g.waiters, t)
 	after := g.queue.RetryAfter()
@@ -167,6 +165,8 @@
 	return nil, g.refusal(k, admission.Refusal{Ticket: t, Cause: admission.CauseExpired, RetryAfter: after})
 }
 
+// answer returns the result of Acquire for the answer to a waiting request. CauseNone means that the
+// request is granted.
 func (g *gate) answer(k *profile.Kind, answer admission.Refusal) (func(), *outcome.Error) {
 	if answer.Cause != admission.CauseNone {
 		return nil, g.refusal(k, answer)
@@ -176,8 +176,8 @@
 	return g.slotFor(k, g.cfg.Clock.Now()).release, nil
 }
 
-// slotFor takes an idle slot, or makes one: there are never more than the
-// queue's highest limit.
+// slotFor returns an idle slot, or creates one. There are never more slots than the highest limit of
+// the queue.
 func (g *gate) slotFor(k *profile.Kind, now clock.Time) *slot {
 	n := len(g.idle)
 	if n == 0 {
@@ -200,25 +200,27 @@
 	g.expire(now)
 	g.granted = g.queue.Done(now, s.kind, now.Sub(s.since), g.granted[:0])
 	for _, t := range g.granted {
-		g.wake(t, admission.Refusal{Ticket: t})
+		g.notify(t, admission.Refusal{Ticket: t})
 	}
 }
 
-// expire refuses what is past its deadline before a slot is given out.
+// expire refuses the waiting requests whose deadline has passed. It is called before a slot is
+// allocated, so that none of them gets the slot.
 func (g *gate) expire(now clock.Time) {
 	if g.queue.Queued() == 0 {
 		return
 	}
 	g.expired = g.queue.Expire(now, g.expired[:0])
 	for _, r := range g.expired {
-		g.wake(r.Ticket, r)
+		g.notify(r.Ticket, r)
 	}
 }
 
-func (g *gate) wake(t admission.Ticket, r admission.Refusal) {
-	woken := g.waiters[t]
+// notify sends a waiting request its answer.
+func (g *gate) notify(t admission.Ticket, r admission.Refusal) {
+	answers := g.waiters[t]
 	delete(g.waiters, t)
-	woken <- r
+	answers <- r
 }
 
 func (g *gate) refusal(k *profile.Kind, r admission.Refusal) *outcome.Error {
--- a/admission/limiter/limiter_test.go
+++ b/admission/limiter/limiter_test.go
@@ -20,15 +20,16 @@
 	purchase = &profile.Kind{Name: "purchase", Worth: 20}
 )
 
-const far = clock.Time(time.Hour)
+// noDeadline is later than the end of every test.
+const noDeadline = clock.Time(time.Hour)
 
-// manual is a clock that only the test moves.
-type manual struct{ now atomic.Int64 }
+// manualClock returns the time that the test has set.
+type manualClock struct{ now atomic.Int64 }
 
-func (m *manual) Now() clock.Time { return clock.Time(m.now.Load()) }
+func (m *manualClock) Now() clock.Time { return clock.Time(m.now.Load()) }
 
-func newLimiter(slots, queued int) (*Limiter, *manual) {
-	m := &manual{}
+func newLimiter(slots, queued int) (*Limiter, *manualClock) {
+	m := &manualClock{}
 	m.now.Store(1)
 	return New(Config{Queue: admission.Config{Slots: slots, MaxQueued: queued}, Clock: m}), m
 }
@@ -44,7 +45,7 @@
 	var group errgroup.Group
 	for range 40 {
 		group.Go(func() error {
-			release, refused := l.Acquire(context.Background(), "a", browse, far)
+			release, refused := l.Acquire(context.Background(), "a", browse, noDeadline)
 			if refused != nil {
 				return refused
 			}
@@ -61,17 +62,16 @@
 	require.Equal(t, Load{Limit: l.Load("a").Limit}, l.Load("a"))
 }
 
-// A volunteer closes the page while the request waits. Its place must be free
-// at once and the caller told "not run", or the queue fills with requests that
-// nobody waits for.
-func TestCallerWhoLeavesFreesItsPlace(t *testing.T) {
+// A caller disconnects while its request waits. Failure guarded against: the request keeps its place,
+// and the queue fills with requests of disconnected callers. The caller must receive "not run".
+func TestCancelledRequestFreesItsPlace(t *testing.T) {
 	l, _ := newLimiter(1, 4)
-	release, refused := l.Acquire(context.Background(), "a", browse, far)
+	release, refused := l.Acquire(context.Background(), "a", browse, noDeadline)
 	require.Nil(t, refused)
 	ctx, cancel := context.WithCancel(context.Background())
 	answers := make(chan *outcome.Error, 1)
 	go func() {
-		_, e := l.Acquire(ctx, "a", browse, far)
+		_, e := l.Acquire(ctx, "a", browse, noDeadline)
 		answers <- e
 	}()
 	waitQueued(t, l, 1)
@@ -84,21 +84,21 @@
 	require.Zero(t, l.Load("a").InUse)
 }
 
-// The queue is full of page views when a purchase arrives. The purchase must
-// get a place; the page view that makes room hears at once when to come back.
-func TestFullQueueMakesRoomForWorthierRequest(t *testing.T) {
+// The queue is full of page views when a purchase arrives. The purchase must get a place, and the
+// evicted page view must immediately receive a refusal with a retry-after time.
+func TestFullQueueMakesRoomForHigherWorth(t *testing.T) {
 	l, _ := newLimiter(1, 1)
-	release, refused := l.Acquire(context.Background(), "a", browse, far)
+	release, refused := l.Acquire(context.Background(), "a", browse, noDeadline)
 	require.Nil(t, refused)
 	evicted := make(chan *outcome.Error, 1)
 	go func() {
-		_, e := l.Acquire(context.Background(), "a", browse, far)
+		_, e := l.Acquire(context.Background(), "a", browse, noDeadline)
 		evicted <- e
 	}()
 	waitQueued(t, l, 1)
 	bought := make(chan func(), 1)
 	go func() {
-		r, _ := l.Acquire(context.Background(), "a", purchase, far)
+		r, _ := l.Acquire(context.Background(), "a", purchase, noDeadline)
 		bought <- r
 	}()
 	answer := <-evicted
@@ -112,7 +112,7 @@
 	l, _ := newLimiter(3, 8)
 	ctx := context.Background()
 	n := testing.AllocsPerRun(1000, func() {
-		release, _ := l.Acquire(ctx, "a", browse, far)
+		release, _ := l.Acquire(ctx, "a", browse, noDeadline)
 		release()
 	})
 	require.Zero(t, n)
@@ -123,7 +123,7 @@
 	ctx := context.Background()
 	b.ReportAllocs()
 	for b.Loop() {
-		release, _ := l.Acquire(ctx, "a", browse, far)
+		release, _ := l.Acquire(ctx, "a", browse, noDeadline)
 		release()
 	}
 }
