--- a/drain/drain.go
+++ b/drain/drain.go
@@ -1,13 +1,12 @@
-// Package drain decides what a leaving proxy or target does with the work it
-// has, and when its grace ends. It is pure: events and the time come in, actions
-// come out.
+// Package drain is the state machine of the drain of a proxy or target. Begin with Drain: its Step
+// takes an event and the current time, and returns the actions that the driver must perform. The
+// package does no I/O and starts no goroutines.
 //
-// A leaving proxy first only says so (readiness turns false) and goes on
-// accepting callers for Notice, because the platform's balancer needs that long
-// to look elsewhere. A leaving target takes no new work at once. Then both let
-// what is in flight finish. What is left when the grace ends is cut, and its
-// callers are told "unknown". A proxy's Grace has to be longer than the longest
-// deadline of a request, so that no request in flight is ever cut.
+// A draining proxy first reports that it is not ready, but continues to accept callers for Notice,
+// because the platform's load balancer needs that time to stop selecting it. A draining target stops
+// accepting new work immediately. Both then wait for the work in flight. Work that remains at the end
+// of the grace period is aborted, and its callers receive the outcome "unknown". A proxy's Grace must
+// be longer than the longest deadline of a request, so that no request in flight is ever aborted.
 package drain
 
 import (
@@ -17,47 +16,47 @@
 	"endivemoor.example/endivemoor/internal/guard"
 )
 
-// GuardInFlight is the wait for requests in flight; a test may take it out.
+// GuardInFlight is the guard that waits for requests in flight. A test can disable it.
 const GuardInFlight guard.Name = "drain/in-flight"
 
-// Phase is how far a drain has come.
+// Phase is the phase of a drain.
 type Phase string
 
 // Phases in their order.
 const (
-	// PhaseServing: no drain.
+	// PhaseServing means that no drain is in progress.
 	PhaseServing Phase = "serving"
-	// PhaseNotice: readiness is false; work is still taken.
+	// PhaseNotice means that readiness is false, but new work is still accepted.
 	PhaseNotice Phase = "notice"
-	// PhaseFinishing: no new work; what is in flight goes on.
+	// PhaseFinishing means that new work is refused while the work in flight continues.
 	PhaseFinishing Phase = "finishing"
-	// PhaseDone: nothing is left.
+	// PhaseDone means that the drain is complete.
 	PhaseDone Phase = "done"
 )
 
-// Config sets a drain's times.
+// Config sets a drain's durations.
 type Config struct {
-	// Notice is how long new work is still taken; zero for a target.
+	// Notice is how long new work is still accepted; zero for a target.
 	Notice time.Duration
-	// Grace is how long work in flight may go on after Notice.
+	// Grace is how long work in flight may continue after Notice.
 	Grace time.Duration
-	// Guards is for tests of this module only.
+	// Guards is set by tests only, to disable guards.
 	Guards guard.Set
 }
 
-// Event is what a driver passes to Drain.Step.
+// Event is an input of Drain.Step.
 type Event interface{ event() }
 
-// Begin starts the drain; it is ignored when one is under way.
+// Begin starts the drain. It is ignored if the drain has already started.
 type Begin struct{}
 
-// Cancel ends a drain that has not cut anything.
+// Cancel ends a drain that is not done and resumes serving.
 type Cancel struct{}
 
-// InFlight tells how many requests and open transactions there are.
+// InFlight reports the number of requests and open transactions in flight.
 type InFlight struct{ Count int }
 
-// Tick says that time has passed.
+// Tick reports that time has passed.
 type Tick struct{}
 
 func (Begin) event()    {}
@@ -65,21 +64,21 @@
 func (InFlight) event() {}
 func (Tick) event()     {}
 
-// Action is what the driver is to do.
+// Action is an instruction to the driver.
 type Action string
 
 // Actions.
 const (
 	// Announce turns readiness to false.
 	Announce Action = "announce"
-	// RefuseNew refuses new work as not run, with a time to come back, and
-	// closes sessions and connections that are between two transactions.
+	// RefuseNew refuses new work as not run, with a retry-after time, and closes sessions and
+	// connections that are between two transactions.
 	RefuseNew Action = "refuse-new"
-	// CutRest ends what is left; its callers are told "unknown".
+	// AbortRemaining aborts the work in flight. Its callers receive the outcome "unknown".
 	CutRest Action = "cut-rest"
-	// Finish closes the rest: nothing is in flight.
+	// Finish closes the remaining sessions and connections. Nothing is in flight.
 	Finish Action = "finish"
-	// Resume takes work again.
+	// Resume accepts work again.
 	Resume Action = "resume"
 )
 
@@ -94,11 +93,11 @@
 // New returns a Drain that has not begun.
 func New(cfg Config) *Drain { return &Drain{cfg: cfg, phase: PhaseServing} }
 
-// Phase returns how far the drain has come.
+// Phase returns the current phase.
 func (d *Drain) Phase() Phase { return d.phase }
 
-// GraceEnds returns when what is left will be cut, and false if no drain is
-// under way.
+// GraceEnds returns the time at which remaining work is aborted, and false if no drain is in
+// progress.
 func (d *Drain) GraceEnds() (clock.Time, bool) {
 	if d.phase == PhaseServing || d.phase == PhaseDone {
 		return 0, false
@@ -106,7 +105,7 @@
 	return d.began.Add(d.cfg.Notice + d.cfg.Grace), true
 }
 
-// Step takes one event and returns what is to be done, in order.
+// Step processes one event and returns the actions to perform, in order.
 func (d *Drain) Step(now clock.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Begin:
@@ -148,10 +147,10 @@
 	return append(out, d.finish(now)...)
 }
 
-// finish ends the drain when nothing is in flight or the grace is over.
+// finish ends the drain when nothing is in flight or the grace period is over.
 //
-// The failure: a proxy that closes its sockets as soon as it is told to stop
-// cuts requests in flight, and their callers cannot tell what became of them.
+// Failure guarded against: a proxy closes its sockets as soon as it receives the signal to stop. This
+// aborts the requests in flight, and their callers cannot determine the outcome.
 func (d *Drain) finish(now clock.Time) []Action {
 	if d.inFlight == 0 || d.cfg.Guards.Out(GuardInFlight) {
 		d.phase = PhaseDone
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -22,7 +22,7 @@
 	require.Empty(t, d.Step(at(6*time.Second), Begin{}))
 }
 
-func TestTargetCutsAtTheEndOfGrace(t *testing.T) {
+func TestTargetAbortsWorkAtTheEndOfGrace(t *testing.T) {
 	d := New(Config{Grace: 3 * time.Second})
 	d.Step(at(0), InFlight{Count: 1})
 	require.Equal(t, []Action{Announce, RefuseNew}, d.Step(at(0), Begin{}))
@@ -34,7 +34,7 @@
 	require.Empty(t, d.Step(ends, Cancel{}))
 }
 
-func TestCancelTakesWorkAgain(t *testing.T) {
+func TestCancelResumesServing(t *testing.T) {
 	d := New(Config{Grace: 3 * time.Second})
 	d.Step(at(0), InFlight{Count: 1})
 	d.Step(at(0), Begin{})
