--- a/drain/store/store.go
+++ b/drain/store/store.go
@@ -1,11 +1,11 @@
-// Package store keeps the operators' drain marks in the platform: an object
-// "drains/<target>" says that the target takes no new work. Daemons watch the
-// prefix; its presence is all that they need.
+// Package store keeps the operators' drain marks in the platform's object store. An object
+// "drains/<target>" means that the target takes no new work. Daemons watch the prefix and need only
+// the presence of a mark. Begin with Store; the drain itself is in package drain.
 //
-// A mark carries the audit entry of the act that wrote it. To end a drain, the
-// act is first written into the mark, which decides; then it goes to the audit
-// trail and the mark is deleted. A command that is killed in between is finished
-// by Recover, with which each one begins.
+// A mark contains the audit entry of its last change. To end a drain, a command first writes the
+// audit entry into the mark, which is the update that takes effect, then appends the entry to the
+// audit trail and deletes the mark. If a command is killed in between, the next one completes its
+// work, because each command begins with Recover.
 package store
 
 import (
@@ -25,7 +25,7 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// Prefix of the marks' keys.
+// Prefix is the prefix of the marks' keys.
 const Prefix = "drains/"
 
 const idBytes = 6
@@ -34,27 +34,27 @@
 type Mark struct {
 	Target target.ID `json:"target"`
 	Since  time.Time `json:"since"`
-	// GraceMS is how long the target keeps the work it has, in milliseconds.
+	// GraceMS is how long work in flight at the target may continue, in milliseconds.
 	GraceMS int64  `json:"grace_ms"`
 	Reason  string `json:"reason"`
 	Actor   string `json:"actor"`
-	// Ending marks are deleted as soon as their act is recorded.
+	// Ending marks are deleted as soon as their audit entry is recorded.
 	Ending bool `json:"ending,omitempty"`
-	// Act is the audit entry of the last change of this mark.
+	// Entry is the audit entry of the last change of this mark.
 	Act auditlog.Pending `json:"act"`
-	// Recorded says that the act stands in the audit trail.
+	// Recorded reports whether the entry is known to be in the audit trail.
 	Recorded bool `json:"recorded"`
 }
 
-// StateError refuses a drain of a target that drains, and the end of a drain of
-// one that does not.
+// StateError reports that a drain was refused because the target is already draining, or that the end
+// of a drain was refused because the target is not draining.
 type StateError struct {
 	Target target.ID
-	// Present is the mark that is there, nil if there is none.
+	// Present is the target's mark, or nil if there is none.
 	Present *Mark
 }
 
-// Error names who marked the target, when and why.
+// Error names the target and, if it has a mark, the mark's time, actor and reason.
 func (e *StateError) Error() string {
 	if e.Present == nil {
 		return "target " + string(e.Target) + " is not draining"
@@ -63,8 +63,7 @@
 	return "target " + string(e.Target) + " drains since " + m.Since.Format(time.RFC3339) + " by " + m.Actor + ": " + m.Reason
 }
 
-// UnknownError says that the store stopped answering: the mark may have
-// changed.
+// UnknownError reports that the store stopped answering, so that the mark may have changed.
 type UnknownError struct {
 	Target target.ID
 	Cause  error
@@ -86,56 +85,56 @@
 	pause    time.Duration
 }
 
-// New returns a store in the platform. now gives the wall clock.
+// New returns a Store on the platform's object store. now returns the wall-clock time.
 func New(p store.Store, now func() time.Time) *Store {
 	return &Store{platform: p, log: auditlog.New(p), now: now, pause: readback.DefaultPause}
 }
 
-// Order is one operator's order about a target.
+// Request is an operator's request to drain a target or to end its drain.
 type Order struct {
 	Target target.ID
 	Actor  string
 	Reason string
-	// Grace is how long the target keeps the work it has; for Drain only.
+	// Grace is how long work in flight at the target may continue; for Drain only.
 	Grace time.Duration
 }
 
-// Drain marks the target.
-func (s *Store) Drain(ctx context.Context, o Order) (Mark, error) {
-	present, version, err := s.begin(ctx, o.Target)
+// Drain marks the target as draining.
+func (s *Store) Drain(ctx context.Context, r Order) (Mark, error) {
+	present, version, err := s.begin(ctx, r.Target)
 	if err != nil {
 		return Mark{}, err
 	}
 	if present != nil {
-		return Mark{}, &StateError{Target: o.Target, Present: present}
+		return Mark{}, &StateError{Target: r.Target, Present: present}
 	}
-	act, err := s.act(ctx, o, audit.TargetDrained, "serving", "draining "+o.Grace.String())
+	entry, err := s.newEntry(ctx, r, audit.TargetDrained, "serving", "draining "+r.Grace.String())
 	if err != nil {
 		return Mark{}, err
 	}
-	m := Mark{Target: o.Target, Since: act.Time, GraceMS: o.Grace.Milliseconds(), Reason: o.Reason, Actor: o.Actor, Act: act}
+	m := Mark{Target: r.Target, Since: entry.Time, GraceMS: r.Grace.Milliseconds(), Reason: r.Reason, Actor: r.Actor, Act: entry}
 	return m, s.write(ctx, m, version)
 }
 
 // Undrain ends the drain of the target.
-func (s *Store) Undrain(ctx context.Context, o Order) (Mark, error) {
-	present, version, err := s.begin(ctx, o.Target)
+func (s *Store) Undrain(ctx context.Context, r Order) (Mark, error) {
+	present, version, err := s.begin(ctx, r.Target)
 	if err != nil {
 		return Mark{}, err
 	}
 	if present == nil {
-		return Mark{}, &StateError{Target: o.Target}
+		return Mark{}, &StateError{Target: r.Target}
 	}
-	act, err := s.act(ctx, o, audit.TargetUndrained, "draining since "+present.Since.Format(time.RFC3339), "serving")
+	entry, err := s.newEntry(ctx, r, audit.TargetUndrained, "draining since "+present.Since.Format(time.RFC3339), "serving")
 	if err != nil {
 		return Mark{}, err
 	}
 	m := *present
-	m.Ending, m.Act, m.Recorded = true, act, false
+	m.Ending, m.Act, m.Recorded = true, entry, false
 	return m, s.write(ctx, m, version)
 }
 
-// Marks returns the present marks.
+// Marks returns the marks in the store.
 func (s *Store) Marks(ctx context.Context) ([]Mark, error) {
 	objects, err := s.platform.List(ctx, store.PurposeDrain, Prefix)
 	if err != nil {
@@ -150,7 +149,7 @@
 	return marks, nil
 }
 
-// Recover records the acts that killed commands left, and deletes ended marks.
+// Recover records the audit entries that killed commands did not record, and deletes ended marks.
 func (s *Store) Recover(ctx context.Context) error {
 	objects, err := s.platform.List(ctx, store.PurposeDrain, Prefix)
 	if err != nil {
@@ -164,6 +163,7 @@
 	return nil
 }
 
+// begin recovers and returns the target's mark with its version, or nil if there is none.
 func (s *Store) begin(ctx context.Context, id target.ID) (*Mark, store.Version, error) {
 	if err := s.Recover(ctx); err != nil {
 		return nil, 0, err
@@ -179,18 +179,18 @@
 	return m, o.Version, errors.Wrapf(json.Unmarshal(o.Value, m), "mark %s", o.Key)
 }
 
-func (s *Store) act(ctx context.Context, o Order, action audit.Action, from, to string) (auditlog.Pending, error) {
+func (s *Store) newEntry(ctx context.Context, r Order, action audit.Action, from, to string) (auditlog.Pending, error) {
 	since, err := s.log.Last(ctx)
 	var id [idBytes]byte
 	_, _ = rand.Read(id[:])
 	return auditlog.Pending{Draft: audit.Draft{
-		ID: hex.EncodeToString(id[:]), Time: s.now().UTC(), Actor: o.Actor, Action: action,
-		Reason: o.Reason, Subject: "targets/" + string(o.Target), From: from, To: to,
+		ID: hex.EncodeToString(id[:]), Time: s.now().UTC(), Actor: r.Actor, Action: action,
+		Reason: r.Reason, Subject: "targets/" + string(r.Target), From: from, To: to,
 	}, Since: since}, err
 }
 
-// write makes the update that decides, and then settles it. A store that fails
-// only in settling does not fail the order: the next command settles it.
+// write makes the conditional update by which the request takes effect, and then settles the mark.
+// Errors in settling are ignored because the next command settles the mark.
 func (s *Store) write(ctx context.Context, m Mark, expect store.Version) error {
 	value, err := json.Marshal(m)
 	if err != nil {
@@ -216,9 +216,9 @@
 	}
 }
 
-// resolveLost tells an order that lost a race from one that another command
-// settled, or ended, before its lost answer could be read back: such an order
-// stands in the audit trail, for nobody changes a mark before its act does.
+// resolveLost distinguishes a request that lost a race from one that took effect, and whose mark
+// another command settled or ended before the lost answer could be read back. The entry of the latter
+// is in the audit trail, because no command changes a mark before its entry is recorded.
 func (s *Store) resolveLost(ctx context.Context, m Mark, seen store.Object) error {
 	recorded, err := s.log.Has(ctx, m.Act)
 	if err != nil {
@@ -237,6 +237,8 @@
 	return &StateError{Target: m.Target, Present: present}
 }
 
+// settle records the audit entry of the mark in o. It then deletes an ending mark, and sets Recorded in
+// any other.
 func (s *Store) settle(ctx context.Context, o store.Object) error {
 	var m Mark
 	if err := json.Unmarshal(o.Value, &m); err != nil {
@@ -262,8 +264,7 @@
 	return ignoreRace(err)
 }
 
-// remove deletes an ended mark. A lost answer is resolved by deleting the same
-// version again.
+// remove deletes an ended mark. A lost answer is resolved by deleting the same version again.
 func (s *Store) remove(ctx context.Context, o store.Object) error {
 	for {
 		err := s.platform.Delete(ctx, store.PurposeDrain, o.Key, o.Version)
@@ -276,8 +277,8 @@
 	}
 }
 
-// ignoreRace forgives that another command settled the same mark, and a lost
-// answer: the mark of a recorded act only saves reads.
+// ignoreRace returns nil for an error which shows that another command settled the same mark, and for
+// a lost answer, because Recorded only saves reads.
 func ignoreRace(err error) error {
 	var conflict *store.ConflictError
 	if errors.As(err, &conflict) || errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrNoAnswer) {
