--- a/store/platform.go
+++ b/store/platform.go
@@ -1,7 +1,7 @@
-// Package store is the client side of the platform's object API: versioned
-// values, conditional updates, lists and watches, and the lagging list of VMs.
-// It is the only place where anything of endivemoor lasts. Each call names its
-// purpose, so that the fixed budget of calls can be seen and shared.
+// Package store defines the interface Store to the platform's object API: versioned values,
+// conditional updates, lists, watches, and the eventually consistent list of VMs. All persistent state
+// of endivemoor is behind this interface. Each call names its purpose, so that metrics show which
+// purposes use the fixed budget of calls. Package store/client implements Store over HTTP.
 package store
 
 import (
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Version numbers an object's updates within the store; 0 means "absent".
+// Version is the store's version number of an object; 0 means that the object does not exist.
 type Version int64
 
-// Object is one stored value.
+// Object is a stored object.
 type Object struct {
 	Key     string  `json:"key"`
 	Version Version `json:"version"`
@@ -20,7 +20,7 @@
 	Value []byte `json:"value"`
 }
 
-// MaxValue is the largest value the platform holds, in bytes.
+// MaxValue is the size of the largest value that the platform stores, in bytes.
 const MaxValue = 1 << 20
 
 // Purpose labels a call in the metric endivemoor_platform_calls_total.
@@ -38,8 +38,8 @@
 	PurposeCommand Purpose = "command"
 )
 
-// VM is an entry of the platform's list. The list lags: a VM on it may be
-// gone, and a new one may be missing.
+// VM is an entry of the platform's list of VMs. The list lags: it may contain removed VMs and lack new
+// ones.
 type VM struct {
 	ID      string `json:"id"`
 	Zone    string `json:"zone"`
@@ -47,23 +47,23 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// Store is the object API. Errors are ErrNotFound, *ConflictError,
-// ErrUnavailable (the call had no effect) or ErrNoAnswer (it may have had one).
+// Store is the object API. Its errors are ErrNotFound, *ConflictError, ErrUnavailable (the call had no
+// effect) and ErrNoAnswer (the call may have had an effect).
 type Store interface {
 	// Get returns one object.
 	Get(ctx context.Context, p Purpose, key string) (Object, error)
 	// List returns the objects whose key starts with prefix, in key order.
 	List(ctx context.Context, p Purpose, prefix string) ([]Object, error)
-	// Put writes value if the object's version is expect (0: absent), and
-	// returns the new version. A lost answer is resolved by reading back.
+	// Put writes value if the object's version is expect (0: the object does not exist), and returns
+	// the new version. Package store/readback resolves a lost answer.
 	Put(ctx context.Context, p Purpose, key string, value []byte, expect Version) (Version, error)
 	// Delete removes the object if its version is expect.
 	Delete(ctx context.Context, p Purpose, key string, expect Version) error
-	// Watch waits at most wait for a change below prefix after the store's
-	// revision since, and returns the changed objects (Version 0: deleted) and
-	// the revision to go on from. A revision of 0 returns the present objects.
+	// Watch waits at most wait for a change below prefix after the store's revision since. It returns
+	// the changed objects (Version 0: deleted) and the revision to pass to the next call. If since is
+	// 0, it returns the current objects.
 	Watch(ctx context.Context, p Purpose, prefix string, since int64, wait time.Duration) ([]Object, int64, error)
-	// VMs returns the platform's lagging list.
+	// VMs returns the platform's list of VMs, which may be outdated.
 	VMs(ctx context.Context) ([]VM, error)
 }
 
@@ -72,16 +72,16 @@
 func (e storeError) Error() string { return string(e) }
 
 const (
-	// ErrNotFound says that the object does not exist.
+	// ErrNotFound reports that the object does not exist.
 	ErrNotFound = storeError("object not found")
-	// ErrUnavailable says that the store refused the call before any effect.
+	// ErrUnavailable reports that the call failed and had no effect.
 	ErrUnavailable = storeError("platform unavailable")
-	// ErrNoAnswer says that no answer came: the change may have taken effect.
+	// ErrNoAnswer reports that the store did not answer, so that the change may have taken effect.
 	ErrNoAnswer = storeError("no answer from the platform")
 )
 
-// ConflictError says that a conditional update lost: Current is the version
-// that the object has.
+// ConflictError reports that a conditional update failed because the object has another version than
+// expected. Current is that version, or 0 if it is not known or the object does not exist.
 type ConflictError struct {
 	Key     string
 	Current Version
