--- a/store/client/client.go
+++ b/store/client/client.go
@@ -1,15 +1,14 @@
-// Package client implements store.Store on the platform's object store, by the
-// one client of it (platform/objects), and counts every call by purpose and
-// result.
+// Package client implements store.Store on the platform's object store by means of package
+// platform/objects, the only HTTP client of that store. It counts each call by purpose and result.
+// Begin with Client. The package does not retry calls or resolve lost answers.
 //
-// A key's first part is the kind of its object, the rest its name. Values are
-// any bytes: they travel as base64 within the object's spec.
+// The part of a key before the first slash is the kind of its object, and the rest is the name. Values
+// are arbitrary bytes, which are sent as base64 in the object's spec.
 //
-// The one decision it takes is which error a failed change is reported as. A
-// change that reached no connection, or that the store refused, surely had no
-// effect: store.ErrUnavailable. Once a connection was handed the request it may
-// have taken effect, whatever failed later: store.ErrNoAnswer. Reads have no
-// effect, so they fail as ErrUnavailable only.
+// A failed change is reported as one of two errors. If no connection was available for the request, or
+// the store refused it, the change certainly had no effect: store.ErrUnavailable. Once the request was
+// passed to a connection, the change may have taken effect, whatever fails later: store.ErrNoAnswer.
+// Reads have no effect, so they fail with ErrUnavailable only.
 package client
 
 import (
@@ -36,15 +35,15 @@
 // KindVMs is the kind under which the platform lists its VMs.
 const KindVMs = "vms"
 
-// Options of a Client.
+// Options configure a Client.
 type Options struct {
-	// Timeout bounds one call; a watch gets its waiting time on top.
+	// Timeout bounds one call. For a watch, it is added to the waiting time.
 	Timeout time.Duration
-	// Registerer takes the calls metric; nil leaves it unregistered.
+	// Registerer registers the metric of calls; nil leaves it unregistered.
 	Registerer prometheus.Registerer
-	// Dial opens connections; nil takes the usual ones.
+	// Dial opens connections; nil selects the default of http.Transport.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Transport is used for the calls; nil gives a plain one.
+	// Transport is used for the calls; nil selects an http.Transport that uses Dial.
 	Transport http.RoundTripper
 }
 
@@ -57,7 +56,7 @@
 
 var _ store.Store = (*Client)(nil)
 
-// New returns a client of the store at base, such as "http://10.0.0.9:7070".
+// New returns a client of the store at the base URL, such as "http://10.0.0.9:7070".
 func New(base string, o Options) (*Client, error) {
 	u, err := url.Parse(base)
 	if err != nil || u.Host == "" {
@@ -73,12 +72,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Client{objects: objects.New(u.Host, purposeful{o.Transport}), timeout: o.Timeout, calls: calls}, nil
+	return &Client{objects: objects.New(u.Host, purposeTransport{o.Transport}), timeout: o.Timeout, calls: calls}, nil
 }
 
 // Get returns one object.
 func (c *Client) Get(ctx context.Context, p store.Purpose, key string) (store.Object, error) {
-	ctx, cancel := c.bound(ctx, p, 0)
+	ctx, cancel := c.callContext(ctx, p, 0)
 	defer cancel()
 	kind, name := SplitKey(key)
 	o, err := c.objects.Get(ctx, kind, name)
@@ -126,21 +125,22 @@
 }
 
 func (c *Client) page(ctx context.Context, p store.Purpose, kind, after string) (*objects.Page, error) {
-	ctx, cancel := c.bound(ctx, p, 0)
+	ctx, cancel := c.callContext(ctx, p, 0)
 	defer cancel()
 	return c.objects.List(ctx, kind, after, false)
 }
 
-// Watch waits for changes below prefix after the revision since.
+// Watch waits for changes below prefix after the revision since. If the store no longer holds the
+// changes since that revision, it returns the current objects.
 func (c *Client) Watch(ctx context.Context, p store.Purpose, prefix string, since int64, wait time.Duration) ([]store.Object, int64, error) {
 	if since == 0 {
 		out, revision, err := c.list(ctx, p, prefix)
 		return out, revision, c.count(p, err)
 	}
 	kind, _ := SplitKey(prefix)
-	bounded, cancel := c.bound(ctx, p, wait)
+	callCtx, cancel := c.callContext(ctx, p, wait)
 	defer cancel()
-	page, err := c.objects.Watch(bounded, kind, since, wait)
+	page, err := c.objects.Watch(callCtx, kind, since, wait)
 	if errors.Is(err, objects.ErrHistoryGone) {
 		out, revision, err := c.list(ctx, p, prefix)
 		return out, revision, c.count(p, err)
@@ -148,13 +148,12 @@
 	if err != nil {
 		return nil, since, c.count(p, readError(err))
 	}
-	out, err := changed(kind, prefix, page.Events)
+	out, err := changedObjects(kind, prefix, page.Events)
 	return out, page.Revision, c.count(p, err)
 }
 
-// changed returns the objects that a watch tells of; a deleted one has no
-// version.
-func changed(kind, prefix string, events []objects.Event) ([]store.Object, error) {
+// changedObjects returns the objects of a watch's events. A deleted object has Version 0.
+func changedObjects(kind, prefix string, events []objects.Event) ([]store.Object, error) {
 	var out []store.Object
 	for i := range events {
 		key := JoinKey(kind, events[i].Object.Meta.Name)
@@ -173,7 +172,7 @@
 	return out, nil
 }
 
-// VMs returns the platform's lagging list.
+// VMs returns the platform's list of VMs, which may be outdated.
 func (c *Client) VMs(ctx context.Context) ([]store.VM, error) {
 	page, err := c.page(ctx, store.PurposeVMs, KindVMs, "")
 	if err != nil {
@@ -197,7 +196,7 @@
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := c.bound(ctx, p, 0)
+	ctx, cancel := c.callContext(ctx, p, 0)
 	defer cancel()
 	kind, name := SplitKey(key)
 	var o *objects.Object
@@ -217,7 +216,7 @@
 
 // Delete removes the object if its version is expect.
 func (c *Client) Delete(ctx context.Context, p store.Purpose, key string, expect store.Version) error {
-	ctx, cancel := c.bound(ctx, p, 0)
+	ctx, cancel := c.callContext(ctx, p, 0)
 	defer cancel()
 	kind, name := SplitKey(key)
 	err := c.objects.Delete(ctx, kind, name, int64(expect))
@@ -227,11 +226,12 @@
 	return c.count(p, err)
 }
 
-func (c *Client) bound(ctx context.Context, p store.Purpose, wait time.Duration) (context.Context, context.CancelFunc) {
+// callContext returns the context of one call, with its purpose and its timeout.
+func (c *Client) callContext(ctx context.Context, p store.Purpose, wait time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(withPurpose(ctx, p), c.timeout+wait)
 }
 
-// readError maps the error of a read, which has no effect.
+// readError maps the error of a read to an error of package store.
 func readError(err error) error {
 	if errors.Is(err, objects.ErrNotFound) {
 		return store.ErrNotFound
@@ -239,7 +239,8 @@
 	return unavailable(err)
 }
 
-// unavailable keeps what is known beyond the plain refusal.
+// unavailable returns store.ErrUnavailable. It adds the text of err unless the store answered with an
+// error status.
 func unavailable(err error) error {
 	var refusal *objects.StatusError
 	if errors.As(err, &refusal) {
@@ -248,8 +249,8 @@
 	return errors.WithMessage(store.ErrUnavailable, err.Error())
 }
 
-// changeError maps the error of a change. One that this version does not know
-// may come from anything on the way, also after the effect.
+// changeError maps the error of a change to an error of package store. An unknown error may have
+// occurred after the change took effect, so it maps to store.ErrNoAnswer.
 func changeError(key string, err error) error {
 	var conflict *objects.ConflictError
 	var known *store.ConflictError
--- a/store/client/client_test.go
+++ b/store/client/client_test.go
@@ -21,12 +21,12 @@
 
 func start(t *testing.T, o client.Options) (*platformd.Store, *client.Client, *httptest.Server) {
 	t.Helper()
-	stand := platformd.NewStore()
-	server := httptest.NewServer(stand.Handler())
+	standIn := platformd.NewStore()
+	server := httptest.NewServer(standIn.Handler())
 	t.Cleanup(server.Close)
 	c, err := client.New(server.URL, o)
 	require.NoError(t, err)
-	return stand, c, server
+	return standIn, c, server
 }
 
 func TestConditionalUpdates(t *testing.T) {
@@ -46,7 +46,7 @@
 	require.NoError(t, c.Delete(ctx, store.PurposeGroup, "groups/a", v1))
 	again, err := c.Put(ctx, store.PurposeGroup, "groups/a", nil, 0)
 	require.NoError(t, err)
-	require.Greater(t, again, v1, "a version never comes back after a delete")
+	require.Greater(t, again, v1, "versions must increase across a delete")
 	list, err := c.List(ctx, store.PurposeGroup, "groups/")
 	require.NoError(t, err)
 	require.Len(t, list, 1)
@@ -62,7 +62,7 @@
 	require.ErrorAs(t, err, &large)
 }
 
-func TestWatchTellsChangesAndDeletions(t *testing.T) {
+func TestWatchReturnsChangesAndDeletions(t *testing.T) {
 	ctx := context.Background()
 	_, c, _ := start(t, client.Options{})
 	_, rev, err := c.Watch(ctx, store.PurposeDrain, "drains/", 0, time.Minute)
@@ -78,12 +78,12 @@
 	require.Equal(t, store.Version(0), objects[0].Version)
 }
 
-// The store applies a change and the connection is cut before the response:
-// the caller must be told that it may have happened, not that it did not.
+// The store applies a change and the connection breaks before the response. The client must report
+// that the change may have taken effect, not that it had no effect.
 func TestCutResponseIsNoAnswer(t *testing.T) {
 	ctx := context.Background()
-	stand, c, _ := start(t, client.Options{})
-	stand.SetFaults(platformd.Faults{LoseAnswers: 1})
+	standIn, c, _ := start(t, client.Options{})
+	standIn.SetFaults(platformd.Faults{LoseAnswers: 1})
 	_, err := c.Put(ctx, store.PurposeLease, "leases/a", []byte("me"), 0)
 	require.ErrorIs(t, err, store.ErrNoAnswer)
 	o, err := c.Get(ctx, store.PurposeLease, "leases/a")
@@ -91,7 +91,7 @@
 	require.Equal(t, "me", string(o.Value))
 }
 
-// gate holds requests back between their arrival and the store.
+// gate delays requests between their arrival and the store, until open is closed.
 type gate struct {
 	next    http.Handler
 	arrived chan struct{}
@@ -107,56 +107,56 @@
 	g.next.ServeHTTP(w, r)
 }
 
-// The store is slow, the caller gives up while its change is there, and the
-// change takes effect afterwards. "Unavailable" would say that it did not.
-func TestChangeGivenUpOnIsNoAnswer(t *testing.T) {
-	stand := platformd.NewStore()
-	g := &gate{next: stand.Handler(), arrived: make(chan struct{}), open: make(chan struct{})}
+// The caller cancels a change that has reached a slow store, and the change takes effect afterwards.
+// Failure guarded against: the client reports ErrUnavailable, which means that it had no effect.
+func TestCancelledChangeIsNoAnswer(t *testing.T) {
+	standIn := platformd.NewStore()
+	g := &gate{next: standIn.Handler(), arrived: make(chan struct{}), open: make(chan struct{})}
 	server := httptest.NewServer(g)
 	defer server.Close()
 	c, err := client.New(server.URL, client.Options{Timeout: time.Minute})
 	require.NoError(t, err)
-	giveUp := func(call func(ctx context.Context) error) error {
+	cancelOnArrival := func(call func(ctx context.Context) error) error {
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() { <-g.arrived; cancel() }()
 		return call(ctx)
 	}
-	require.ErrorIs(t, giveUp(func(ctx context.Context) error {
+	require.ErrorIs(t, cancelOnArrival(func(ctx context.Context) error {
 		_, err := c.Put(ctx, store.PurposeLease, "leases/a", []byte("me"), 0)
 		return err
 	}), store.ErrNoAnswer)
-	require.ErrorIs(t, giveUp(func(ctx context.Context) error {
+	require.ErrorIs(t, cancelOnArrival(func(ctx context.Context) error {
 		_, err := c.Get(ctx, store.PurposeLease, "leases/a")
 		return err
-	}), store.ErrUnavailable, "a read has no effect to be in doubt of")
+	}), store.ErrUnavailable, "a read has no effect")
 	close(g.open)
 	require.Eventually(t, func() bool {
-		_, err := stand.Get(context.Background(), store.PurposeLease, "leases/a")
+		_, err := standIn.Get(context.Background(), store.PurposeLease, "leases/a")
 		return err == nil
 	}, time.Minute, time.Millisecond)
 }
 
-// Nothing listens, or the store refuses: a change surely had no effect, so its
-// caller may say "not accepted" during an outage.
-func TestRefusedCallsSurelyHadNoEffect(t *testing.T) {
+// The store refuses a change, or no process listens on its port. The change certainly had no effect,
+// so that the caller can report "not accepted" during an outage.
+func TestRefusedCallsAreUnavailable(t *testing.T) {
 	ctx := context.Background()
-	stand, c, server := start(t, client.Options{})
-	stand.SetFaults(platformd.Faults{Down: true})
+	standIn, c, server := start(t, client.Options{})
+	standIn.SetFaults(platformd.Faults{Down: true})
 	_, err := c.Put(ctx, store.PurposeLease, "k", nil, 0)
 	require.ErrorIs(t, err, store.ErrUnavailable)
 	server.Close()
-	// A new client: one with an idle connection may write to it before it
-	// learns of the close, and then honestly does not know.
-	fresh, err := client.New(server.URL, client.Options{})
+	// A new client is necessary: one with an idle connection may write to it before it detects that
+	// the connection was closed, and then correctly returns ErrNoAnswer.
+	unconnected, err := client.New(server.URL, client.Options{})
 	require.NoError(t, err)
-	_, err = fresh.Put(ctx, store.PurposeLease, "k", nil, 0)
+	_, err = unconnected.Put(ctx, store.PurposeLease, "k", nil, 0)
 	require.ErrorIs(t, err, store.ErrUnavailable)
 }
 
 func TestCallsAreCountedByPurposeAndResult(t *testing.T) {
 	ctx := context.Background()
 	registry := prometheus.NewRegistry()
-	stand, c, _ := start(t, client.Options{Registerer: registry})
+	standIn, c, _ := start(t, client.Options{Registerer: registry})
 	_, _ = c.Get(ctx, store.PurposeGroup, "none")
 	_, _ = c.Put(ctx, store.PurposeAudit, "k", nil, 0)
 	_, _ = c.VMs(ctx)
@@ -167,5 +167,5 @@
 endivemoor_platform_calls_total{purpose="group",result="not_found"} 1
 endivemoor_platform_calls_total{purpose="vms",result="ok"} 1
 `), "endivemoor_platform_calls_total"))
-	require.EqualValues(t, 1, stand.Stats().ByPurpose["audit"]["put"])
+	require.EqualValues(t, 1, standIn.Stats().ByPurpose["audit"]["put"])
 }
--- a/store/client/metrics.go
+++ b/store/client/metrics.go
@@ -7,7 +7,7 @@
 	"endivemoor.example/endivemoor/store"
 )
 
-// Result labels a finished call in the metric.
+// Result is the value of a call's result label in the metric of calls.
 type Result string
 
 // Results of a call.
@@ -39,6 +39,7 @@
 	return calls, errors.Wrap(err, "register calls metric")
 }
 
+// count counts a call with its error and returns the error.
 func (c *Client) count(p store.Purpose, err error) error {
 	c.calls.WithLabelValues(string(p), string(resultOf(err))).Inc()
 	return err
--- a/store/client/value.go
+++ b/store/client/value.go
@@ -13,35 +13,36 @@
 	"endivemoor.example/endivemoor/store"
 )
 
-// HeaderPurpose carries the call's store.Purpose, for the stand-in's meter.
+// HeaderPurpose is the header with the call's store.Purpose, by which the stand-in counts calls.
 const HeaderPurpose = "Endivemoor-Purpose"
 
-// MaxBody bounds a request's body: a value in base64 and its envelope.
+// MaxBody bounds the size of a request's body in bytes: a value in base64 and 4096 bytes for its
+// envelope.
 const MaxBody = store.MaxValue*4/3 + 4096
 
-// spec is an object's content.
+// spec is the JSON form of an object's spec.
 type spec struct {
-	// Value is any bytes, as base64.
+	// Value is encoded as base64.
 	Value []byte `json:"value"`
 }
 
-// EncodeValue returns the spec of an object with the value.
+// EncodeValue returns the spec of an object that has the value.
 func EncodeValue(value []byte) (json.RawMessage, error) {
 	raw, err := json.Marshal(spec{Value: value})
 	return raw, errors.Wrap(err, "encode value")
 }
 
-// DecodeValue returns the value in an object's spec.
+// DecodeValue returns the value of an object with the spec raw.
 func DecodeValue(raw json.RawMessage) ([]byte, error) {
 	var s spec
 	err := json.Unmarshal(raw, &s)
 	return s.Value, errors.Wrap(err, "decode value")
 }
 
-// kindPlain is the kind of objects whose key has one part only.
+// kindPlain is the kind of objects whose key has no slash.
 const kindPlain = "plain"
 
-// SplitKey returns the kind and the name that a key stands for.
+// SplitKey returns the kind and the name of the object with the key.
 func SplitKey(key string) (kind, name string) {
 	kind, name, ok := strings.Cut(key, "/")
 	if !ok {
@@ -50,7 +51,7 @@
 	return kind, name
 }
 
-// JoinKey is the key of a kind's object.
+// JoinKey returns the key of the object with the kind and the name.
 func JoinKey(kind, name string) string {
 	if kind == kindPlain {
 		return name
@@ -63,7 +64,7 @@
 	return store.Object{Key: JoinKey(kind, o.Meta.Name), Version: store.Version(o.Meta.Revision), Value: value}, err
 }
 
-// TooLargeError refuses a value above store.MaxValue before it is sent.
+// TooLargeError reports a value that is larger than store.MaxValue and was not sent.
 type TooLargeError struct {
 	Key  string
 	Size int
@@ -80,11 +81,11 @@
 	return context.WithValue(ctx, purposeKey{}, p)
 }
 
-// purposeful adds the purpose of each call to its headers.
-type purposeful struct{ http.RoundTripper }
+// purposeTransport adds the purpose of each call to its headers.
+type purposeTransport struct{ http.RoundTripper }
 
 // RoundTrip implements http.RoundTripper.
-func (t purposeful) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t purposeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if p, ok := r.Context().Value(purposeKey{}).(store.Purpose); ok {
 		r.Header.Set(HeaderPurpose, string(p))
 	}
