--- a/store/readback/readback.go
+++ b/store/readback/readback.go
@@ -1,13 +1,15 @@
-// Package readback makes a conditional update whose answer may be lost, and
-// says for certain whether it won, as far as the store can be asked.
+// Package readback makes a conditional update whose answer may be lost, and determines with certainty
+// whether the update took effect, as long as the store can be read. Begin with Put.
 //
-// A lost answer is resolved by reading the object, never by writing blindly.
-// Three things may be seen. The object carries our change: won. It carries
-// another's and not ours: lost, and the reader learns to whom. It is as it was
-// before: the change was lost on the way or still is on its way, for a slow
-// store applies late what its caller gave up on. Then the very same update,
-// conditional on the same version, is sent again. That is safe because each
-// update gives the object a new version: of the two at most one takes effect.
+// A lost answer is resolved by reading the object, never by an unconditional write. There are three
+// cases:
+//
+//   - The object contains this update: Won.
+//   - The object has changed and does not contain this update: Lost. The result contains the object.
+//   - The object is unchanged: the update was lost on the way to the store or has not yet been
+//     applied, because a slow store may apply an update after its caller has timed out. The same
+//     update, conditional on the same version, is then sent again. This is safe because each update
+//     gives the object a new version, so that at most one of the two takes effect.
 package readback
 
 import (
@@ -21,18 +23,18 @@
 	"endivemoor.example/endivemoor/store"
 )
 
-// Outcome is what became of an update.
+// Outcome is the outcome of an update.
 type Outcome uint8
 
 const (
-	// Unknown means the update may have taken effect, or may still: the store
-	// did not answer until the context ended.
+	// Unknown means that the update may have taken effect or may still do so: the store did not
+	// answer until the context ended.
 	Unknown Outcome = iota
-	// Won means the update took effect.
+	// Won means that the update took effect.
 	Won
-	// Lost means another change came first and ours never takes effect.
+	// Lost means that another change came first and the update never takes effect.
 	Lost
-	// NotSent means the store refused the update before any effect.
+	// NotSent means that the update failed and had no effect.
 	NotSent
 )
 
@@ -59,28 +61,28 @@
 	Key     string
 	Value   []byte
 	Expect  store.Version
-	// Mine reports whether an object that has moved on from Expect carries this
-	// update. Nil compares whole values, which tells two writers apart only if
-	// their values differ, and misses an update that was overwritten since.
+	// IsOwn reports whether an object whose version is no longer Expect contains this update. If it
+	// is nil, whole values are compared, which distinguishes two writers only if their values differ,
+	// and does not find an update that has since been overwritten.
 	Mine func(store.Object) bool
 	// Pause is the time between two read-backs.
 	Pause time.Duration
 }
 
-// Result of a Write.
+// Result is the result of a Write.
 type Result struct {
 	Outcome Outcome
-	// Current is the object as last seen. For Won it is this update or a later
-	// one that still carries it; for Lost it is whose change came first, with
-	// Version 0 if the object is gone.
+	// Current is the last known state of the object. For Won, it contains this update, possibly with
+	// later changes. For Lost, it contains the change that came first, or has Version 0 if the
+	// object was deleted.
 	Current store.Object
-	// ReadBack says that an answer was lost on the way to the outcome.
+	// ReadBack reports whether an answer or a read failed before the outcome was determined.
 	ReadBack bool
 }
 
-// Put makes the update and resolves a lost answer. The error is nil for Won
-// and Lost; for NotSent and Unknown it is why the store did not answer. Other
-// errors, such as a value too large, are NotSent.
+// Put makes the update and resolves a lost answer. The error is nil for Won and Lost. For NotSent and
+// Unknown, it is the last error of the store. Other errors, such as that of a value that is too large,
+// have the outcome NotSent.
 func Put(ctx context.Context, s store.Store, w Write) (Result, error) {
 	if w.Pause <= 0 {
 		w.Pause = DefaultPause
@@ -98,7 +100,8 @@
 	}
 }
 
-// attempt sends the update once and, if that leaves a doubt, reads back once.
+// attempt sends the update once and, if the outcome is in doubt, reads the object back once. It
+// reports whether the outcome is determined.
 func attempt(ctx context.Context, s store.Store, w Write, r *Result) (bool, error) {
 	version, err := s.Put(ctx, w.Purpose, w.Key, w.Value, w.Expect)
 	var conflict *store.ConflictError
@@ -108,27 +111,28 @@
 		r.Current = store.Object{Key: w.Key, Version: version, Value: w.Value}
 		return true, nil
 	case errors.As(err, &conflict):
-		return settle(ctx, s, w, r)
+		return readBack(ctx, s, w, r)
 	case errors.Is(err, store.ErrNoAnswer):
 		r.ReadBack = true
-		return settle(ctx, s, w, r)
+		return readBack(ctx, s, w, r)
 	case r.ReadBack:
-		// Refused now, but an earlier sending may have taken effect.
-		return settle(ctx, s, w, r)
+		// The store refused this request, but an earlier one may have taken effect.
+		return readBack(ctx, s, w, r)
 	default:
 		r.Outcome = NotSent
 		return true, err
 	}
 }
 
-// settle reads the object and decides, unless it is as it was before.
-func settle(ctx context.Context, s store.Store, w Write, r *Result) (bool, error) {
+// readBack reads the object and determines the outcome, unless the object is unchanged.
+func readBack(ctx context.Context, s store.Store, w Write, r *Result) (bool, error) {
 	o, err := s.Get(ctx, w.Purpose, w.Key)
 	if errors.Is(err, store.ErrNotFound) {
 		o, err = store.Object{Key: w.Key}, nil
 	}
 	if err != nil {
-		// The conflict is an answer, but to whom it was lost must still be read.
+		// A conflict is an answer, but the object must still be read to determine which change came
+		// first.
 		r.ReadBack = true
 		return false, err
 	}
@@ -137,13 +141,14 @@
 	}
 	r.Current = o
 	r.Outcome = Lost
-	if o.Version != 0 && w.mine(o) {
+	if o.Version != 0 && w.contains(o) {
 		r.Outcome = Won
 	}
 	return true, nil
 }
 
-func (w Write) mine(o store.Object) bool {
+// contains reports whether o contains this update.
+func (w Write) contains(o store.Object) bool {
 	if w.Mine != nil {
 		return w.Mine(o)
 	}
--- a/store/readback/readback_test.go
+++ b/store/readback/readback_test.go
@@ -18,8 +18,8 @@
 	return readback.Write{Purpose: store.PurposeProfile, Key: key, Value: []byte(value), Expect: expect, Pause: time.Millisecond}
 }
 
-// The store applies the update and its answer is lost. A writer that repeated
-// it blindly would see a conflict with itself and report a loss.
+// The store applies the update and the answer is lost. Failure guarded against: the writer repeats the
+// update without reading back, receives a conflict with its own update and reports Lost.
 func TestAnswerLostAfterTheEffectIsWon(t *testing.T) {
 	s := platformd.NewStore()
 	s.SetFaults(platformd.Faults{LoseAnswers: 1})
@@ -32,8 +32,8 @@
 	require.Equal(t, 1, struck.LostAnswers)
 }
 
-// The update itself is lost on the way: nothing is there when it is read back,
-// so the same conditional update goes out again and wins.
+// The update is lost on the way to the store. The read-back finds no object, so the same conditional
+// update is sent again and wins.
 func TestRequestLostBeforeTheEffectIsSentAgain(t *testing.T) {
 	s := platformd.NewStore()
 	s.SetFaults(platformd.Faults{LoseRequests: 2})
@@ -43,9 +43,8 @@
 	require.EqualValues(t, 3, s.Stats().Writes)
 }
 
-// The update is held up in the network and its writer repeats it. When the
-// held one arrives it must not take effect a second time, nor undo what came
-// in between.
+// The update is delayed in the network and the writer repeats it. When the delayed one arrives, it
+// must not take effect a second time or undo later changes.
 func TestLateUpdateDoesNotTakeEffectTwice(t *testing.T) {
 	ctx := context.Background()
 	s := platformd.NewStore()
@@ -61,8 +60,8 @@
 	require.Equal(t, "later", string(o.Value))
 }
 
-// Another writer came first. The loser learns what is there now.
-func TestLoserLearnsTheWinner(t *testing.T) {
+// Another writer's update came first. The result must contain the object that won.
+func TestLostUpdateReturnsTheCurrentObject(t *testing.T) {
 	ctx := context.Background()
 	s := platformd.NewStore()
 	_, err := s.Put(ctx, store.PurposeProfile, key, []byte("theirs"), 0)
@@ -73,8 +72,7 @@
 	require.Equal(t, "theirs", string(r.Current.Value))
 }
 
-// The store is down from the start: the writer may say for certain that
-// nothing happened.
+// The store is down from the start, so the update certainly had no effect.
 func TestRefusedUpdateIsNotSent(t *testing.T) {
 	s := platformd.NewStore()
 	s.SetFaults(platformd.Faults{Down: true})
@@ -83,8 +81,8 @@
 	require.Equal(t, readback.NotSent, r.Outcome)
 }
 
-// downAfterPut takes the store down as soon as it has applied one update, and
-// ends the caller's time.
+// downAfterPut takes the store down as soon as it has applied one update, and cancels the caller's
+// context.
 type downAfterPut struct {
 	*platformd.Store
 	cancel func()
@@ -97,8 +95,8 @@
 	return v, err
 }
 
-// The answer is lost and the store goes down before it can be read back. The
-// update did take effect, so "not sent" would be a lie: it is unknown.
+// The answer is lost and the store goes down before the object can be read back. The update took
+// effect, so the outcome must be Unknown, not NotSent.
 func TestOutageAfterLostAnswerIsUnknown(t *testing.T) {
 	s := platformd.NewStore()
 	s.SetFaults(platformd.Faults{LoseAnswers: 1})
@@ -109,5 +107,5 @@
 	s.SetFaults(platformd.Faults{})
 	r, err = readback.Put(context.Background(), s, write("mine", 0))
 	require.NoError(t, err)
-	require.Equal(t, readback.Won, r.Outcome, "asked again once the store is back, it is resolved")
+	require.Equal(t, readback.Won, r.Outcome, "a repeated Put after the outage must resolve the outcome")
 }
