--- a/profile/profile.go
+++ b/profile/profile.go
@@ -1,74 +1,73 @@
-// Package profile holds the typed form of what operators publish: named
-// profiles that say how fresh a read must be, which requests are idempotent,
-// how long a draining target keeps its work, and what each kind of request is
-// worth. Values are immutable once published; parsing and checking live beside
-// this file and in package profile/inifile.
+// Package profile defines the typed form of the configuration that operators publish: named profiles
+// that define how fresh a read must be, which requests are idempotent, how long work in flight at a
+// draining target may continue, and the worth of each kind of request. Begin with Set. Values are
+// immutable once published. Package profile/inifile parses and checks the text of a set.
 package profile
 
 import (
 	"time"
 )
 
-// Access says where a kind of request may run.
+// Access defines where requests of a kind may run.
 type Access uint8
 
 const (
-	// Write goes to the primary. It is the zero value: what a profile does not
-	// declare a read goes to the primary.
+	// Write requests run on the primary. Write is the zero value, so that requests which a profile
+	// does not declare as reads run on the primary.
 	Write Access = iota
-	// Read may be served by a replica that is fresh enough.
+	// Read requests may be served by a replica that is fresh enough.
 	Read
 )
 
-// KeyPolicy says if a kind carries a request key.
+// KeyPolicy defines whether requests of a kind must carry a request key.
 type KeyPolicy uint8
 
 const (
-	// KeyOptional uses a key when the caller sends one.
+	// KeyOptional uses a key if the caller sends one.
 	KeyOptional KeyPolicy = iota
 	// KeyRequired refuses a request without a key.
 	KeyRequired
 )
 
-// Durability is what must hold before a write is acknowledged.
+// Durability is the condition for acknowledging a write.
 type Durability uint8
 
 const (
-	// Confirmed waits until a replica that has not promised a later term holds
-	// the write, so that no promotion can lose it.
+	// Confirmed waits until a replica that has not promised a later term holds the write, so that no
+	// promotion can lose it.
 	Confirmed Durability = iota
-	// Witnessed waits until a replica says that it has not promised a later
-	// term: the primary was not superseded. What was not yet replicated is lost
-	// if the primary crashes, or is deposed because its replicas cannot reach it.
+	// Witnessed waits until a replica reports that it has not promised a later term, which shows that
+	// the primary was not superseded. A write that is not yet replicated is lost if the primary
+	// crashes, or is replaced because its replicas cannot reach it.
 	Witnessed
 )
 
-// Kind is one sort of request within a profile.
+// Kind is a kind of request within a profile.
 type Kind struct {
-	// Name is the caller's tag, such as "purchase".
+	// Name is the tag that callers send, such as "purchase".
 	Name string
-	// Access says whether replicas may serve it.
+	// Access defines whether replicas may serve the request.
 	Access Access
-	// Worth weighs a request served in time against others; at least 0.
+	// Worth is the weight of a request that is served in time, relative to other kinds; at least 0.
 	Worth float64
 	// Deadline is how long the caller waits for the answer.
 	Deadline time.Duration
-	// MaxAge is the greatest age of the data that a read accepts; zero asks
-	// for what the primary holds.
+	// MaxAge is the greatest age of the data that a read accepts. Zero requires the data that the
+	// primary holds.
 	MaxAge time.Duration
-	// Idempotent requests may be sent again by the proxy.
+	// Idempotent reports whether the proxy may send a request again.
 	Idempotent bool
-	// Key says if a request key must be sent.
+	// Key defines whether a request key must be sent.
 	Key KeyPolicy
 	// Durability applies to writes.
 	Durability Durability
 }
 
-// Profile is what a service picks by name.
+// Profile is a named configuration that a service selects.
 type Profile struct {
 	// Name is unique within a Set.
 	Name string
-	// DrainGrace is how long a draining target keeps the work it has.
+	// DrainGrace is how long work in flight at a draining target may continue.
 	DrainGrace time.Duration
 	// MaxQueued bounds the requests of this profile that wait on one proxy.
 	MaxQueued int
@@ -76,12 +75,12 @@
 	MaxSessions int
 	// Kinds by name.
 	Kinds map[string]*Kind
-	// Default is used for requests that carry no tag.
+	// Default is the kind of requests without a tag.
 	Default *Kind
 }
 
-// KindOf returns the named kind; an empty name gives the default, and an
-// undeclared one nil.
+// KindOf returns the kind with the name: Default if the name is empty, or nil if the kind is not
+// declared.
 func (p *Profile) KindOf(name string) *Kind {
 	if name == "" {
 		return p.Default
@@ -89,10 +88,10 @@
 	return p.Kinds[name]
 }
 
-// Generation numbers published sets. It only grows.
+// Generation is the number of a published set. Each publish increases it.
 type Generation uint64
 
-// Set is all profiles of one generation. It is immutable.
+// Set contains all profiles of one generation. It is immutable.
 type Set struct {
 	Generation Generation
 	Profiles   map[string]*Profile
@@ -100,7 +99,7 @@
 	Digest string
 }
 
-// Profile returns the named profile or nil.
+// Profile returns the named profile, or nil if it is not declared or s is nil.
 func (s *Set) Profile(name string) *Profile {
 	if s == nil {
 		return nil
