--- a/profile/inifile/bench_test.go
+++ b/profile/inifile/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// setOf returns the text of a set with so many kinds, ten to a profile.
+// setOf returns the text of a set with the number of kinds given, ten in each profile.
 func setOf(kinds int) []byte {
 	var b strings.Builder
 	for i := range kinds {
@@ -18,7 +18,7 @@
 	return []byte(b.String())
 }
 
-// The cost of putting a published set in force, by its size.
+// BenchmarkParse measures the cost of parsing a published set, by the number of kinds.
 func BenchmarkParse(b *testing.B) {
 	for _, kinds := range []int{10, 50, 250, 1000} {
 		text := setOf(kinds)
--- a/profile/inifile/doc.go
+++ b/profile/inifile/doc.go
@@ -1,9 +1,8 @@
-// Package inifile parses the INI text of a set of profiles and checks it as a
-// whole: every finding has file, section, key and line, unknown keys and
-// sections are findings, and all are reported together. docs/PROFILES.md lists
-// each key with unit, default and bounds; the constants in this package are
-// its source.
+// Package inifile parses the INI text of a set of profiles and checks it as a whole. Begin with Parse.
+// Each finding has file, section, key and line; unknown keys and sections are findings; and all
+// findings are reported together. docs/PROFILES.md lists each key with its unit, default and bounds,
+// which are defined by the constants in this package.
 //
-// A section [passes] declares the profile "passes"; [passes.purchase] declares
-// its kind "purchase".
+// A section [passes] declares the profile "passes". A section [passes.purchase] declares its kind
+// "purchase".
 package inifile
--- a/profile/inifile/keys.go
+++ b/profile/inifile/keys.go
@@ -22,14 +22,14 @@
 	keyDurability = "durability"
 )
 
-// Words of the choices.
+// Values of the keys with a fixed set of values.
 const (
-	wordRead      = "read"
-	wordWrite     = "write"
-	wordOptional  = "optional"
-	wordRequired  = "required"
-	wordConfirmed = "confirmed"
-	wordWitnessed = "witnessed"
+	valueRead      = "read"
+	valueWrite     = "write"
+	valueOptional  = "optional"
+	valueRequired  = "required"
+	valueConfirmed = "confirmed"
+	valueWitnessed = "witnessed"
 )
 
 // Defaults and bounds.
@@ -57,6 +57,6 @@
 	maxKinds    = 100
 )
 
-// UndeclaredKind names the kind of untagged requests in a profile that names no
-// default-kind: a write that the proxy never repeats.
+// UndeclaredKind is the name of the kind of untagged requests in a profile without a default-kind. It
+// is a write that the proxy never repeats.
 const UndeclaredKind = "undeclared"
--- a/profile/inifile/parse.go
+++ b/profile/inifile/parse.go
@@ -11,12 +11,13 @@
 	"endivemoor.example/endivemoor/profile"
 )
 
-// name is what profiles and kinds may be called; a dot separates the two.
-var name = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
+// namePattern matches the allowed names of profiles and kinds. A dot separates the two in a section's
+// name.
+var namePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
 
-// Parse checks the text and returns its profiles, without a generation. The
-// set is nil if any finding is an Error; the findings may hold warnings beside
-// a set. The file name is used in findings only.
+// Parse checks the text and returns its profiles, without a generation. The set is nil if any finding
+// is an error. With a set, Parse may return findings that are warnings. The file name is used in
+// findings only.
 func Parse(file string, text []byte) (*profile.Set, finding.Findings) {
 	p := &parser{
 		doc:    inidoc.Load(file, text),
@@ -58,7 +59,7 @@
 }
 
 func (p *parser) profile(s *inidoc.Section) {
-	if !name.MatchString(s.Name) {
+	if !namePattern.MatchString(s.Name) {
 		s.Skip("profile name is not allowed", "use a letter, then letters, digits and dashes, lower case, at most 63")
 		return
 	}
@@ -74,39 +75,39 @@
 
 func (p *parser) kinds() {
 	for _, s := range p.doc.Sections() {
-		of, kind, ok := strings.Cut(s.Name, ".")
+		profileName, kind, ok := strings.Cut(s.Name, ".")
 		if !ok || s.IsOutside() {
 			continue
 		}
-		in := p.set.Profiles[of]
+		parent := p.set.Profiles[profileName]
 		switch {
-		case in == nil:
-			s.Skip(fmt.Sprintf("profile %q is not declared", of), fmt.Sprintf("add a [%s] section", of))
-		case !name.MatchString(kind):
+		case parent == nil:
+			s.Skip(fmt.Sprintf("profile %q is not declared", profileName), fmt.Sprintf("add a [%s] section", profileName))
+		case !namePattern.MatchString(kind):
 			s.Skip("kind name is not allowed", "use a letter, then letters, digits and dashes, lower case, at most 63")
 		case kind == UndeclaredKind:
 			s.Skip("this name is taken by requests that carry no tag", "choose another and name it in "+keyDefaultKind)
 		default:
-			in.Kinds[kind] = p.kind(s, kind, p.maxAge[of])
+			parent.Kinds[kind] = p.kind(s, kind, p.maxAge[profileName])
 		}
 	}
 }
 
-func (p *parser) kind(s *inidoc.Section, named string, maxAge time.Duration) *profile.Kind {
+func (p *parser) kind(s *inidoc.Section, name string, maxAge time.Duration) *profile.Kind {
 	k := &profile.Kind{
-		Name:     named,
+		Name:     name,
 		Worth:    s.Float(keyWorth, defaultWorth, 0, maxWorth),
 		Deadline: s.Duration(keyDeadline, defaultDeadline, minDeadline, maxDeadline),
 	}
-	if s.Choice(keyAccess, wordWrite, wordRead, wordWrite) == wordRead {
+	if s.Choice(keyAccess, valueWrite, valueRead, valueWrite) == valueRead {
 		k.Access = profile.Read
 	}
-	// A read has no effect that could happen twice, a write may.
+	// Reads are idempotent by default because they have no effect; writes are not.
 	k.Idempotent = s.Bool(keyIdempotent, k.Access == profile.Read)
-	if s.Choice(keyKey, wordOptional, wordOptional, wordRequired) == wordRequired {
+	if s.Choice(keyKey, valueOptional, valueOptional, valueRequired) == valueRequired {
 		k.Key = profile.KeyRequired
 	}
-	if s.Choice(keyDurability, wordConfirmed, wordConfirmed, wordWitnessed) == wordWitnessed {
+	if s.Choice(keyDurability, valueConfirmed, valueConfirmed, valueWitnessed) == valueWitnessed {
 		k.Durability = profile.Witnessed
 	}
 	age := s.Duration(keyMaxAge, maxAge, 0, MaxAgeLimit)
@@ -117,7 +118,7 @@
 	return k
 }
 
-// checkKind reports what does not go together.
+// checkKind reports combinations of keys that are not allowed or have no effect.
 func checkKind(s *inidoc.Section, k *profile.Kind, maxAge time.Duration) {
 	if k.Access == profile.Read {
 		if k.MaxAge > maxAge {
@@ -146,13 +147,13 @@
 			s.Fault("", fmt.Sprintf("%d kinds are declared", len(pr.Kinds)), fmt.Sprintf("keep at most %d", maxKinds))
 		}
 		pr.Default = &profile.Kind{Name: UndeclaredKind, Worth: defaultWorth, Deadline: defaultDeadline}
-		named := s.String(keyDefaultKind, "")
-		if named == "" {
+		kind := s.String(keyDefaultKind, "")
+		if kind == "" {
 			continue
 		}
-		k := pr.Kinds[named]
+		k := pr.Kinds[kind]
 		if k == nil {
-			s.Fault(keyDefaultKind, fmt.Sprintf("kind %q is not declared", named), fmt.Sprintf("add a [%s.%s] section", pr.Name, named))
+			s.Fault(keyDefaultKind, fmt.Sprintf("kind %q is not declared", kind), fmt.Sprintf("add a [%s.%s] section", pr.Name, kind))
 			continue
 		}
 		if k.Access == profile.Read {
--- a/profile/inifile/parse_test.go
+++ b/profile/inifile/parse_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// Operators copy the examples: each must be accepted without any finding.
+// Operators copy the examples, so each must be accepted without any finding.
 func TestExamplesHaveNoFindings(t *testing.T) {
 	for _, user := range []string{"skybridge", "caledonian"} {
 		text, err := os.ReadFile("../../examples/" + user + "/profiles.ini")
@@ -64,7 +64,7 @@
 	require.ErrorIs(t, err, ErrNoProfile)
 }
 
-// docs/PROFILES.md is the operators' page: it must name every key.
+// docs/PROFILES.md is the operators' reference and must list every key.
 func TestEveryKeyIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/PROFILES.md")
 	require.NoError(t, err)
@@ -87,7 +87,7 @@
 		set, findings := Parse("f.ini", text)
 		require.Equal(t, set == nil, findings.Refused())
 		again, _ := Parse("f.ini", text)
-		require.Equal(t, set, again, "two proxies must read one text alike")
+		require.Equal(t, set, again, "two proxies must parse the same text to the same set")
 		if set != nil {
 			requireBounds(t, set)
 		}
--- a/profile/inifile/without.go
+++ b/profile/inifile/without.go
@@ -10,11 +10,11 @@
 	"endivemoor.example/endivemoor/internal/inidoc"
 )
 
-// ErrNoProfile says that the text declares no such profile.
+// ErrNoProfile reports that the text does not declare the profile.
 var ErrNoProfile = errors.New("no such profile")
 
-// Without returns the text without a profile and its kinds. Comments of the
-// other sections stay.
+// Without returns the text without the profile and its kinds. It preserves the comments of the other
+// sections.
 func Without(text []byte, profile string) ([]byte, error) {
 	file, err := ini.LoadSources(inidoc.Options(), text)
 	if err != nil {
