--- a/profile/diff/diff.go
+++ b/profile/diff/diff.go
@@ -1,6 +1,6 @@
-// Package diff compares two sets of profiles and names every change, and among
-// them the dangerous ones: those that could run a write twice, lose one, or
-// show data older than before. A reviewer must accept each of these by its ID.
+// Package diff compares two sets of profiles and lists the changes. Begin with Sets. Some changes are
+// dangerous, for example because they can run a write twice, lose one, or show older data than before.
+// A reviewer must accept each dangerous change by its ID.
 package diff
 
 import (
@@ -13,47 +13,47 @@
 	"endivemoor.example/endivemoor/profile"
 )
 
-// Danger says why a change needs the reviewer's explicit word.
+// Danger is the reason why the reviewer must accept a change explicitly.
 type Danger string
 
 const (
-	// Safe changes need none.
+	// Safe changes need no explicit acceptance.
 	Safe Danger = ""
-	// BecomesIdempotent lets the proxy run a write again.
+	// BecomesIdempotent allows the proxy to run a write again.
 	BecomesIdempotent Danger = "a write may now be run twice"
-	// KeyDropped lets a write come without the key that keeps it from running
-	// twice when its caller asks again.
+	// KeyDropped allows a write without the key that prevents it from running twice when its caller
+	// retries.
 	KeyDropped Danger = "a repeated request is no longer recognised"
-	// AgeWidened lets reads show older data.
+	// AgeWidened allows reads to show older data.
 	AgeWidened Danger = "reads may show older data"
-	// DurabilityLowered lets a crash lose an acknowledged write.
+	// DurabilityLowered allows a crash to lose an acknowledged write.
 	DurabilityLowered Danger = "a crash may lose an acknowledged write"
-	// KindDropped refuses requests that carry the kind's tag.
+	// KindDropped causes requests with the kind's tag to be refused.
 	KindDropped Danger = "requests of this kind are refused"
-	// ProfileDropped refuses sessions that pick the profile.
+	// ProfileDropped causes sessions that select the profile to be refused.
 	ProfileDropped Danger = "sessions of this profile are refused"
-	// DeadlineCut gives up on requests that were served before.
+	// DeadlineShortened causes time-outs of requests that were served before.
 	DeadlineCut Danger = "requests are given up on earlier"
-	// MovedToReplicas sends what went to the primary to replicas.
+	// MovedToReplicas moves requests from the primary to replicas.
 	MovedToReplicas Danger = "requests move from the primary to replicas"
-	// DefaultChanged gives untagged requests another kind.
+	// DefaultChanged assigns another kind to untagged requests.
 	DefaultChanged Danger = "untagged requests are treated as another kind"
 )
 
-// Change is one difference. Kind is empty for a profile's own keys, and Key
-// for a profile or kind as a whole.
+// Change is one difference. Kind is empty for a profile's own keys, and Key is empty for a profile or
+// kind as a whole.
 type Change struct {
 	Profile string `json:"profile"`
 	Kind    string `json:"kind,omitempty"`
 	Key     string `json:"key,omitempty"`
-	// From and To are the values in the file's spelling; "" is absent.
+	// From and To are the values as written in the file, or "" if absent.
 	From   string `json:"from"`
 	To     string `json:"to"`
 	Danger Danger `json:"danger,omitempty"`
 }
 
-// ID names the change by section and key, as in the file:
-// "passes.purchase/idempotent". A reviewer accepts a dangerous change by it.
+// ID identifies the change by its section and key in the file, such as
+// "passes.purchase/idempotent". A reviewer accepts a dangerous change by its ID.
 func (c Change) ID() string {
 	id := c.Profile
 	if c.Kind != "" {
@@ -65,7 +65,7 @@
 	return id
 }
 
-// String is one line for people.
+// String returns the change as one human-readable line.
 func (c Change) String() string {
 	line := c.ID() + ": " + cmp.Or(c.From, "(none)") + " -> " + cmp.Or(c.To, "(none)")
 	if c.Danger != Safe {
@@ -74,15 +74,15 @@
 	return line
 }
 
-// Dangerous returns the changes that need the reviewer's word.
+// Dangerous returns the changes that the reviewer must accept explicitly.
 func Dangerous(changes []Change) []Change {
 	return slices.DeleteFunc(slices.Clone(changes), func(c Change) bool { return c.Danger == Safe })
 }
 
 const declared = "declared"
 
-// Sets returns the changes from one set to another in a fixed order. A nil
-// from is an empty set: first profiles are compared with nothing.
+// Sets returns the changes from one set to another in a fixed order. A nil from is an empty set, which
+// is the case for the first published set.
 func Sets(from, to *profile.Set) []Change {
 	var out []Change
 	before, after := profilesOf(from), profilesOf(to)
@@ -114,8 +114,8 @@
 		out := []Change{{Profile: name, To: declared}}
 		return append(out, newKinds(to)...)
 	}
-	l := list{profile: name}
-	l.add("drain-grace", span(from.DrainGrace), span(to.DrainGrace), Safe)
+	l := changeList{profile: name}
+	l.add("drain-grace", durationText(from.DrainGrace), durationText(to.DrainGrace), Safe)
 	l.add("max-queued", strconv.Itoa(from.MaxQueued), strconv.Itoa(to.MaxQueued), Safe)
 	l.add("max-sessions", strconv.Itoa(from.MaxSessions), strconv.Itoa(to.MaxSessions), Safe)
 	l.add("default-kind", from.Default.Name, to.Default.Name, DefaultChanged)
@@ -126,90 +126,94 @@
 }
 
 func newKinds(p *profile.Profile) []Change {
-	l := list{profile: p.Name}
+	l := changeList{profile: p.Name}
 	for _, kind := range union(p.Kinds, nil) {
 		l.kinds(kind, nil, p.Kinds[kind])
 	}
 	return l.changes
 }
 
-// list collects the changes of one profile.
-type list struct {
+// changeList collects the changes of one profile.
+type changeList struct {
 	profile string
+	// kind is the kind whose changes add appends, or empty for the profile's own keys.
 	kind    string
 	changes []Change
 }
 
-func (l *list) add(key, from, to string, d Danger) {
+func (l *changeList) add(key, from, to string, d Danger) {
 	if from == to {
 		return
 	}
 	l.changes = append(l.changes, Change{Profile: l.profile, Kind: l.kind, Key: key, From: from, To: to, Danger: d})
 }
 
-func (l *list) kinds(name string, from, to *profile.Kind) {
+func (l *changeList) kinds(name string, from, to *profile.Kind) {
 	l.kind = name
 	switch {
 	case to == nil:
 		l.add("", declared, "", KindDropped)
 	case from == nil:
 		l.add("", "", declared, Safe)
-		// A new kind has no past, but a write that the proxy may repeat is
-		// accepted by its own word from the start.
-		l.add("idempotent", "", yes(to.Idempotent && to.Access == profile.Write), when(to.Idempotent && to.Access == profile.Write, BecomesIdempotent))
+		// A new kind has no previous values, but the reviewer must accept explicitly that the proxy
+		// may repeat its writes.
+		l.add("idempotent", "", trueOrEmpty(to.Idempotent && to.Access == profile.Write), dangerIf(to.Idempotent && to.Access == profile.Write, BecomesIdempotent))
 	default:
 		l.kindKeys(from, to)
 	}
 }
 
-func (l *list) kindKeys(from, to *profile.Kind) {
+func (l *changeList) kindKeys(from, to *profile.Kind) {
 	isWrite := to.Access == profile.Write
-	l.add("access", access(from.Access), access(to.Access), when(!isWrite, MovedToReplicas))
-	l.add("worth", number(from.Worth), number(to.Worth), Safe)
-	l.add("deadline", span(from.Deadline), span(to.Deadline), when(to.Deadline < from.Deadline, DeadlineCut))
-	l.add("max-age", span(from.MaxAge), span(to.MaxAge), when(to.MaxAge > from.MaxAge, AgeWidened))
-	l.add("idempotent", strconv.FormatBool(from.Idempotent), strconv.FormatBool(to.Idempotent), when(to.Idempotent && isWrite, BecomesIdempotent))
-	l.add("key", key(from.Key), key(to.Key), when(to.Key == profile.KeyOptional, KeyDropped))
-	l.add("durability", durability(from.Durability), durability(to.Durability), when(to.Durability == profile.Witnessed, DurabilityLowered))
-	// A read that was idempotent by nature and becomes a write keeps the word.
+	l.add("access", accessText(from.Access), accessText(to.Access), dangerIf(!isWrite, MovedToReplicas))
+	l.add("worth", numberText(from.Worth), numberText(to.Worth), Safe)
+	l.add("deadline", durationText(from.Deadline), durationText(to.Deadline), dangerIf(to.Deadline < from.Deadline, DeadlineCut))
+	l.add("max-age", durationText(from.MaxAge), durationText(to.MaxAge), dangerIf(to.MaxAge > from.MaxAge, AgeWidened))
+	l.add("idempotent", strconv.FormatBool(from.Idempotent), strconv.FormatBool(to.Idempotent), dangerIf(to.Idempotent && isWrite, BecomesIdempotent))
+	l.add("key", keyText(from.Key), keyText(to.Key), dangerIf(to.Key == profile.KeyOptional, KeyDropped))
+	l.add("durability", durabilityText(from.Durability), durabilityText(to.Durability), dangerIf(to.Durability == profile.Witnessed, DurabilityLowered))
+	// If a read becomes a write and remains idempotent, the value is unchanged, but its meaning is
+	// not: the proxy may now repeat a write.
 	if isWrite && from.Access == profile.Read && to.Idempotent && from.Idempotent {
 		l.add("idempotent", "true (read)", "true (write)", BecomesIdempotent)
 	}
 }
 
-func when(is bool, d Danger) Danger {
-	if is {
+// dangerIf returns d if the condition holds, and Safe otherwise.
+func dangerIf(condition bool, d Danger) Danger {
+	if condition {
 		return d
 	}
 	return Safe
 }
 
-func yes(b bool) string {
+// trueOrEmpty returns "true" if b is true, and the empty text of an absent value otherwise.
+func trueOrEmpty(b bool) string {
 	if b {
 		return "true"
 	}
 	return ""
 }
 
-func span(d time.Duration) string { return d.String() }
+func durationText(d time.Duration) string { return d.String() }
 
-func number(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
+func numberText(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-func access(a profile.Access) string {
+func accessText(a profile.Access) string {
 	if a == profile.Read {
 		return "read"
 	}
 	return "write"
 }
 
-func key(k profile.KeyPolicy) string {
+func keyText(k profile.KeyPolicy) string {
 	if k == profile.KeyRequired {
 		return "required"
 	}
 	return "optional"
 }
 
-func durability(d profile.Durability) string {
+func durabilityText(d profile.Durability) string {
 	if d == profile.Witnessed {
 		return "witnessed"
 	}
--- a/profile/diff/diff_test.go
+++ b/profile/diff/diff_test.go
@@ -32,7 +32,7 @@
 	})
 }
 
-func TestFirstSetIsComparedWithNothing(t *testing.T) {
+func TestFirstSetIsComparedWithAnEmptySet(t *testing.T) {
 	set, _ := inifile.Parse("d.ini", []byte("[shop]\n[shop.pay]\nidempotent = true\n"))
 	require.Len(t, Sets(nil, set), 3)
 	require.Len(t, Dangerous(Sets(nil, set)), 1)
