--- a/settings/load.go
+++ b/settings/load.go
@@ -35,14 +35,13 @@
 }
 
 const (
-	keyActive    = "active"
-	scramPrefix  = "SCRAM-SHA-256$"
-	mendAddress  = "write ip:port, such as 127.0.0.1:6432"
-	mendTLSFiles = "set cert and key together, or neither"
+	keyActive      = "active"
+	scramPrefix    = "SCRAM-SHA-256$"
+	repairAddress  = "write ip:port, such as 127.0.0.1:6432"
+	repairTLSFiles = "set cert and key together, or neither"
 )
 
-// Load reads and checks the file. The error is finding.Findings, or a failure
-// to read the file.
+// Load reads and checks the file. The error is finding.Findings, or a failure to read the file.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -52,8 +51,7 @@
 	return s, findings.Err()
 }
 
-// Parse checks the text as a whole. The settings are of use only if nothing
-// was refused.
+// Parse checks the whole text. The settings may be used only if no finding is an Error.
 func Parse(file string, raw []byte) (*Settings, finding.Findings) {
 	doc := inidoc.Load(file, raw)
 	for _, s := range doc.Sections() {
@@ -109,12 +107,12 @@
 }
 
 func readAddress(s *inidoc.Section, key string) string {
-	addr := s.Required(key, mendAddress)
+	addr := s.Required(key, repairAddress)
 	if addr == "" {
 		return ""
 	}
 	if _, err := netip.ParseAddrPort(addr); err != nil {
-		s.Fault(key, "is no ip:port", mendAddress)
+		s.Fault(key, "is no ip:port", repairAddress)
 	}
 	return addr
 }
@@ -129,12 +127,13 @@
 func readKeyFiles(s *inidoc.Section) KeyFiles {
 	k := KeyFiles{Cert: s.String("cert", ""), Key: s.String("key", "")}
 	if (k.Cert == "") != (k.Key == "") {
-		s.Fault("", "only one of cert and key is set", mendTLSFiles)
+		s.Fault("", "only one of cert and key is set", repairTLSFiles)
 	}
 	return k
 }
 
-// readPeerKeyFiles also needs the authority: peers prove who they are.
+// readPeerKeyFiles also requires the certificate authority, because peers authenticate each other
+// by certificates.
 func readPeerKeyFiles(s *inidoc.Section) KeyFiles {
 	k := readKeyFiles(s)
 	k.CA = s.String("ca", "")
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,12 +1,13 @@
-// Package settings reads a daemon's INI file. Every key is declared once in
-// fields.go with its unit, default and bounds; the file is checked as a whole
-// and every finding is reported with file, section, key and line. Keys that are
-// not declared are findings too. docs/OPERATIONS.md lists the keys.
+// Package settings reads a daemon's INI file. Parse declares every key once, with its default and
+// bounds. It checks the whole file and reports every finding with file, section, key and line. An
+// undeclared key is a finding too. docs/OPERATIONS.md lists the keys.
+//
+// Settings is the type to begin with. The package does not watch the file for changes.
 package settings
 
 import "time"
 
-// Settings is a daemon's checked settings.
+// Settings contains a daemon's checked settings.
 type Settings struct {
 	VM       VM
 	Listen   Listen
@@ -17,15 +18,15 @@
 	Callers  Callers
 	Failover Failover
 	Log      Log
-	// SessionKeys are the signing keys of session tokens by id.
+	// SessionKeys are the signing keys of session tokens by ID.
 	SessionKeys map[string][]byte
-	// ActiveKey is the id that signs.
+	// ActiveKey is the ID of the key that signs new tokens.
 	ActiveKey string
 	// Users are SCRAM-SHA-256 secrets by user name.
 	Users map[string]string
 }
 
-// VM says who and where this daemon is.
+// VM identifies this daemon and its location.
 type VM struct {
 	ID   string
 	Zone string
@@ -35,57 +36,58 @@
 	Zones []string
 }
 
-// Listen holds the ip:port of each endpoint.
+// Listen contains the ip:port of each endpoint.
 type Listen struct {
 	Callers string
 	Peers   string
 	Admin   string
 }
 
-// Platform says how to reach the object API.
+// Platform contains the address of the object API and the timeout of a call.
 type Platform struct {
 	URL     string
 	Timeout time.Duration
 }
 
-// KeyFiles are PEM files; all empty means no TLS.
+// KeyFiles are PEM files. TLS is off if all are empty.
 type KeyFiles struct {
 	Cert string
 	Key  string
 	CA   string
 }
 
-// Targets says how to log in to database servers and what each can take.
+// Targets contains the login to database servers and the limits of each server.
 type Targets struct {
 	User     string
 	Password string
 	// TLS is a PostgreSQL sslmode: disable, require or verify-full.
 	TLS string
-	// CA is the PEM authority of the servers; empty means the system's.
+	// CA is the PEM file of the certificate authority of the servers; the system's authorities if
+	// empty.
 	CA string
-	// Connections is one server's limit for the whole fleet.
+	// Connections is the limit of connections to one server, for the whole fleet.
 	Connections int
-	// Slots is how many statements one server runs at once.
+	// Slots is the number of statements that one server runs concurrently.
 	Slots int
 }
 
-// Callers bounds what callers may use.
+// Callers limits the resources that callers may use.
 type Callers struct {
 	MaxSessions    int
 	MaxMessage     int
 	StartupTimeout time.Duration
-	// DrainTimeout is the longest that a shutdown waits for running work.
+	// DrainTimeout is the maximum time for which a shutdown waits for running work.
 	DrainTimeout time.Duration
 }
 
-// Failover holds the times of detection that operators may set.
+// Failover contains the failure detection times that operators may set.
 type Failover struct {
 	Heartbeat    time.Duration
 	SuspectAfter time.Duration
 	LeaseTime    time.Duration
 }
 
-// Log sets what is written.
+// Log configures the log output.
 type Log struct {
 	Level string
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const good = `[vm]
+const validSettings = `[vm]
 id = p1
 zone = z1
 zones = z1, z2
@@ -27,21 +27,21 @@
 `
 
 func TestDefaultsFillWhatIsAbsent(t *testing.T) {
-	s, found := Parse("p.ini", []byte(good))
+	s, found := Parse("p.ini", []byte(validSettings))
 	require.Empty(t, found)
 	require.Equal(t, 25, s.Targets.Connections)
 	require.Equal(t, []string{"z1", "z2"}, s.VM.Zones)
 	require.Equal(t, "k1", s.ActiveKey)
 }
 
-// An operator mistypes three things in one file. Being told of one at a time
-// costs three restarts at night, so all are named at once with their lines.
+// Failure guarded against: only the first of several mistakes in a file is reported, so that an
+// operator needs one restart for each. All must be reported at once, with their lines.
 func TestAllFindingsComeTogetherWithTheirPlace(t *testing.T) {
 	bad := strings.NewReplacer(
 		"callers = 127.0.0.1:1", "callers = localhost",
 		"active = k1", "active = k9",
 		"user = endivemoor", "usr = endivemoor",
-	).Replace(good) + "[extra]\nx = 1\n"
+	).Replace(validSettings) + "[extra]\nx = 1\n"
 	_, found := Parse("p.ini", []byte(bad))
 	text := found.Error()
 	require.Contains(t, text, "p.ini:6: [listen] callers: error: is no ip:port")
