--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -9,35 +9,35 @@
 )
 
 const (
-	// queuedLines bounds the lines that wait to be written.
+	// queuedLines limits the lines waiting to be written.
 	queuedLines = 512
-	// linesPerSecond bounds the volume: an outage must not cost the VM's
-	// processor in lines that nobody reads.
+	// linesPerSecond limits the volume, so that an outage does not spend the VM's processor time on
+	// log lines that nobody reads.
 	linesPerSecond = 200
 )
 
-// Bounded is a writer that never blocks its caller: lines beyond its bounds are
-// counted instead, and the count is written once there is room again.
+// BoundedWriter is a writer that never blocks its caller. Lines beyond its limits are dropped and
+// counted, and the count is written once there is room again.
 type Bounded struct {
 	out        io.Writer
 	lines      chan []byte
 	suppressed atomic.Int64
 	done       chan struct{}
 
-	// mu is held for reading while a line is handed over.
+	// mu is read-locked while a line is queued, and locked to close the queue.
 	mu     sync.RWMutex
 	closed bool
 }
 
-// NewBounded returns a Bounded writer in front of out.
+// NewBoundedWriter returns a BoundedWriter in front of out.
 func NewBounded(out io.Writer) *Bounded {
 	b := &Bounded{out: out, lines: make(chan []byte, queuedLines), done: make(chan struct{})}
 	go b.run()
 	return b
 }
 
-// Write takes over a copy of the line, or counts it as suppressed. A line that comes after
-// Close is dropped: goroutines may still end then.
+// Write queues a copy of the line, or counts it as suppressed. A line written after Close is
+// dropped, because goroutines may still be ending then.
 func (b *Bounded) Write(line []byte) (int, error) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -52,7 +52,7 @@
 	return len(line), nil
 }
 
-// Close writes what waits.
+// Close writes the queued lines and stops the writer.
 func (b *Bounded) Close() {
 	b.mu.Lock()
 	b.closed = true
@@ -73,7 +73,7 @@
 			b.suppressed.Add(1)
 			continue
 		}
-		// A log that cannot be written has no other place to say so.
+		// An error of the log itself cannot be reported anywhere else.
 		_, _ = b.out.Write(line)
 	}
 	b.reportSuppressed()
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -9,21 +9,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stuck blocks its writer, as a full pipe does.
-type stuck struct {
+// blockedWriter blocks its caller until open is closed, like a full pipe.
+type blockedWriter struct {
 	open chan struct{}
 	bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *blockedWriter) Write(b []byte) (int, error) {
 	<-s.open
 	return s.Buffer.Write(b)
 }
 
-// Whoever reads the log has stopped reading. Requests go on, and what was not
-// written is counted.
+// Failure guarded against: the reader of the log stops reading, and requests block on log writes.
+// Requests must proceed, and dropped lines must be counted.
 func TestLogNeverBlocks(t *testing.T) {
-	out := &stuck{open: make(chan struct{})}
+	out := &blockedWriter{open: make(chan struct{})}
 	b := NewBounded(out)
 	for range 3 * queuedLines {
 		_, err := b.Write([]byte("event=x\n"))
@@ -35,7 +35,8 @@
 	require.LessOrEqual(t, strings.Count(out.String(), "event=x"), linesPerSecond)
 }
 
-// Guards against a process that ends by a panic, as a goroutine logs while the log is closed.
+// Failure guarded against: a goroutine logs while the log is being closed, and the process panics
+// with a send on a closed channel.
 func TestLinesAfterTheLogIsClosedAreDropped(t *testing.T) {
 	var out bytes.Buffer
 	b := NewBounded(&out)
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -10,10 +10,10 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// The store fails, and each event with the error in it became a stack of lines
-// that no key=value reader understands.
+// Failure guarded against: an event with an error is written with the error's stack, over many
+// lines that no key=value reader can parse.
 func TestAnEventWithAnErrorStaysOneLine(t *testing.T) {
 	core, seen := observer.New(zapcore.InfoLevel)
-	zap.New(plainErrors{core}).Info("watch_failed", zap.Error(errors.New("no answer")))
+	zap.New(messageOnlyErrors{core}).Info("watch_failed", zap.Error(errors.New("no answer")))
 	require.Equal(t, map[string]any{"error": "no answer"}, seen.All()[0].ContextMap())
 }
--- a/logging/read.go
+++ b/logging/read.go
@@ -10,19 +10,19 @@
 	"github.com/pkg/errors"
 )
 
-// maxLine bounds a line of a log that is read, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes limits the length of a line when a log is read.
+const maxLineBytes = 1 << 20
 
-// eventKey names the event of a line.
+// eventKey is the key of an event's name.
 const eventKey = "event"
 
-// EachEvent passes on the fields of each line of a log that tells one of some events.
-// Lines of other events, and lines that are no key=value pairs, are passed over.
+// EachEvent calls take with the fields of each line whose event is one of events. Lines of other
+// events, and lines that are not key=value pairs, are skipped.
 func EachEvent(r io.Reader, events []string, take func(fields map[string]string)) error {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		if !mentions(lines.Bytes(), events) {
+		if !mentionsAny(lines.Bytes(), events) {
 			continue
 		}
 		if fields := fieldsOf(lines.Bytes()); slices.Contains(events, fields[eventKey]) {
@@ -32,12 +32,12 @@
 	return errors.Wrap(lines.Err(), "read the log")
 }
 
-// mentions spares most lines their decoding.
-func mentions(line []byte, events []string) bool {
+// mentionsAny is a cheap check that avoids decoding most lines.
+func mentionsAny(line []byte, events []string) bool {
 	return slices.ContainsFunc(events, func(event string) bool { return bytes.Contains(line, []byte(event)) })
 }
 
-// fieldsOf decodes one line, as far as it is one of ours.
+// fieldsOf decodes one line, up to the first part that is not a key=value pair.
 func fieldsOf(line []byte) map[string]string {
 	fields := make(map[string]string)
 	d := logfmt.NewDecoder(bytes.NewReader(line))
