--- a/losses/losses.go
+++ b/losses/losses.go
@@ -1,6 +1,6 @@
-// Package losses reads the daemons' logs and tells what consumers have lost, by
-// cause: statements that were not served, and those that were served later than
-// their route's objective.
+// Package losses reads the daemons' logs and reports, by cause, statements that were not served and
+// statements that were served later than their route's objective. Read returns them; ByCause,
+// ByWorkspace and ByWindow count them.
 package losses
 
 import (
@@ -12,40 +12,39 @@
 	"endivemoor.example/endivemoor/logging"
 )
 
-// Events of the daemons' logs that say of a loss.
+// Log events that report a loss.
 const (
 	eventLate     = "statement-late"
 	eventUnserved = "statement-unserved"
 )
 
-// Kind is what was lost.
+// Kind is the kind of a loss.
 type Kind string
 
-// Kinds of losses.
 const (
-	// Late: served after the objective.
+	// Late: the statement was served after its objective.
 	Late Kind = "late"
-	// Unserved: refused or failed.
+	// Unserved: the statement was refused or failed.
 	Unserved Kind = "unserved"
 )
 
-// Loss is one statement's.
+// Loss is one statement that was late or not served.
 type Loss struct {
 	Kind     Kind
 	Request  string
 	Database string
-	// Workspace is whose statement it was; empty if nobody's.
+	// Workspace is the workspace of the statement; empty if it has none.
 	Workspace string
-	// Code is the answer's.
+	// Code is the code of the answer.
 	Code string
-	// Cause is the phase that took the most time: see package engine.
+	// Cause is the phase that took the most time; see package engine.
 	Cause string
 	After time.Duration
 	At    time.Time
 }
 
-// Read returns the losses in a log. Lines of other events, and lines that are no
-// key=value pairs, are passed over.
+// Read returns the losses in a log. Lines of other events, and lines that are not key=value pairs,
+// are skipped.
 func Read(r io.Reader) ([]Loss, error) {
 	var out []Loss
 	err := logging.EachEvent(r, []string{eventLate, eventUnserved}, func(fields map[string]string) {
@@ -54,13 +53,13 @@
 	return out, err
 }
 
-// lossOf decodes the fields of a line that says of a loss.
+// lossOf decodes the fields of a line that reports a loss.
 func lossOf(f map[string]string) Loss {
 	l := Loss{Kind: Unserved, Request: f["request"], Database: f["database"], Workspace: f["workspace"], Code: f["code"], Cause: f["cause"]}
 	if f["event"] == eventLate {
 		l.Kind = Late
 	}
-	// A line that was cut short counts with what it has.
+	// A truncated line is counted with the fields that it has.
 	l.At, _ = time.Parse(time.RFC3339Nano, f["time"])
 	if seconds, err := time.ParseDuration(f["after"] + "s"); err == nil {
 		l.After = seconds
@@ -68,24 +67,24 @@
 	return l
 }
 
-// Row is one line of a table.
+// Row is one row of a table.
 type Row struct {
-	// Workspace is set in tables by workspace only.
+	// Workspace is set only in tables by workspace.
 	Workspace string `json:"workspace,omitempty"`
 	Kind      Kind   `json:"kind"`
 	Code      string `json:"code"`
 	Cause     string `json:"cause"`
 	Count     int    `json:"count"`
-	// Longest is the longest time that one of them took.
+	// Longest is the longest time that one of the statements took.
 	Longest time.Duration `json:"longest"`
-	// Request is that one's id, from which its lines lead on.
+	// Request is the ID of that statement's request, by which its log lines can be found.
 	Request string `json:"request"`
 }
 
-// ByCause counts losses by kind, code and cause, the most frequent first.
+// ByCause counts losses by kind, code and cause, most frequent first.
 func ByCause(all []Loss) []Row { return count(all, func(Loss) string { return "" }) }
 
-// ByWorkspace is ByCause for each workspace.
+// ByWorkspace counts like ByCause, separately for each workspace.
 func ByWorkspace(all []Loss) []Row { return count(all, func(l Loss) string { return l.Workspace }) }
 
 func count(all []Loss, workspace func(Loss) string) []Row {
@@ -116,16 +115,15 @@
 	return out
 }
 
-// Window is a span of time with its losses.
+// Window is a time span with its losses.
 type Window struct {
 	From  time.Time `json:"from"`
 	Count int       `json:"count"`
-	// Cause is the most frequent one.
+	// Cause is the most frequent cause.
 	Cause string `json:"cause"`
 }
 
-// ByWindow counts losses by spans of time, in their order; spans without a loss
-// are left out.
+// ByWindow counts losses by time span, in order of time. Spans without a loss are left out.
 func ByWindow(all []Loss, length time.Duration) []Window {
 	in := make(map[time.Time][]Loss)
 	for _, l := range all {
