--- a/spending/conn.go
+++ b/spending/conn.go
@@ -5,50 +5,49 @@
 	"syscall"
 )
 
-// counted is a connection whose bytes are counted.
-type counted struct {
+// countingConn counts the bytes read from and written to a connection.
+type countingConn struct {
 	net.Conn
 	total *total
 }
 
 // Read implements net.Conn.
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.total.add(n)
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.total.add(n)
 	return n, err
 }
 
-// idler is a connection that tells by itself whether it is open and has
-// nothing unread.
-type idler interface{ Idle() bool }
+// idleChecker is a connection that can check by itself that it is open and has no unread data.
+type idleChecker interface{ Idle() bool }
 
-// countedSocket and countedIdler keep what a connection offers besides, by which
-// idle ones are checked before they are used again.
+// countingSocket and countingIdleChecker preserve the other interfaces of a connection, which
+// callers use to check an idle connection before they reuse it.
 type (
-	countedSocket struct {
-		*counted
+	countingSocket struct {
+		*countingConn
 		syscall.Conn
 	}
-	countedIdler struct {
-		*counted
-		idler
+	countingIdleChecker struct {
+		*countingConn
+		idleChecker
 	}
 )
 
-func count(conn net.Conn, t *total) net.Conn {
-	c := &counted{Conn: conn, total: t}
+func countBytes(conn net.Conn, t *total) net.Conn {
+	c := &countingConn{Conn: conn, total: t}
 	switch inner := conn.(type) {
-	case idler:
-		return countedIdler{c, inner}
+	case idleChecker:
+		return countingIdleChecker{c, inner}
 	case syscall.Conn:
-		return countedSocket{c, inner}
+		return countingSocket{c, inner}
 	default:
 		return c
 	}
--- a/spending/report.go
+++ b/spending/report.go
@@ -9,37 +9,37 @@
 	"endivemoor.example/endivemoor/logging"
 )
 
-// Event is that of the log line that tells a VM's counts.
+// Event is the log event that reports a VM's counts.
 const Event = "spent"
 
-// Account is what the VMs of a log have spent. It is for one goroutine.
+// Summary adds up the counts in the logs of VMs. It is not safe for concurrent use.
 type Account struct {
-	// lives are the latest counts of each process: they only grow while it lives.
-	lives map[life]map[Item]int64
+	// counts are the latest counts of each incarnation of a VM. They only grow while it runs, so
+	// the latest ones replace the earlier ones.
+	counts map[incarnation]map[Item]int64
 }
 
-// life is one process of a VM.
-type life struct{ vm, zone, incarnation string }
+// incarnation is one process of a VM.
+type incarnation struct{ vm, zone, incarnation string }
 
-// NewAccount returns an empty Account.
-func NewAccount() *Account { return &Account{lives: make(map[life]map[Item]int64)} }
+// NewSummary returns an empty Summary.
+func NewAccount() *Account { return &Account{counts: make(map[incarnation]map[Item]int64)} }
 
-// Read adds a log. Lines of other events, and lines that are no key=value
-// pairs, are passed over.
-func (a *Account) Read(r io.Reader) error {
-	return logging.EachEvent(r, []string{Event}, a.add)
+// Read adds a log. Lines of other events, and lines that are not key=value pairs, are skipped.
+func (s *Account) Read(r io.Reader) error {
+	return logging.EachEvent(r, []string{Event}, s.add)
 }
 
-// add takes over the counts of one line.
-func (a *Account) add(fields map[string]string) {
+// add replaces the counts of an incarnation by those of one line.
+func (s *Account) add(fields map[string]string) {
 	counts := make(map[Item]int64)
 	for key, value := range fields {
-		take(counts, key, value)
+		parseCount(counts, key, value)
 	}
-	a.lives[life{vm: fields["vm"], zone: fields["zone"], incarnation: fields["incarnation"]}] = counts
+	s.counts[incarnation{vm: fields["vm"], zone: fields["zone"], incarnation: fields["incarnation"]}] = counts
 }
 
-func take(counts map[Item]int64, key, value string) {
+func parseCount(counts map[Item]int64, key, value string) {
 	i, ok := parseKey(key)
 	if !ok {
 		return
@@ -49,28 +49,29 @@
 	}
 }
 
-// Row is one line of a table.
+// Row is one row of a table.
 type Row struct {
 	Family Family `json:"family"`
 	Name   string `json:"name"`
 	Detail string `json:"detail,omitempty"`
-	// Zone is the VMs' own; empty if the row is of all.
+	// Zone is the zone of the VMs; empty if the row covers all zones.
 	Zone string `json:"zone,omitempty"`
-	// VMs have spent it, Total in all and Most at the one that spent the most.
+	// VMs is the number of VMs that have a count, Total the sum of the counts, and Most the highest
+	// count, at the VM MostAt.
 	VMs    int    `json:"vms"`
 	Total  int64  `json:"total"`
 	Most   int64  `json:"most"`
 	MostAt string `json:"most_at"`
 }
 
-// Rows are the account's lines: of each item, over all VMs or by their zone.
-func (a *Account) Rows(byZone bool) []Row {
+// Rows returns a row for each item, over all VMs or by their zone.
+func (s *Account) Rows(byZone bool) []Row {
 	type key struct {
 		Item
 		zone string
 	}
 	at := make(map[key]*Row)
-	for vm, counts := range a.byVM(byZone) {
+	for vm, counts := range s.byVM(byZone) {
 		for i, n := range counts {
 			k := key{i, vm.zone}
 			if at[k] == nil {
@@ -95,19 +96,19 @@
 	return out
 }
 
-// byVM sums the counts of each VM's processes.
-func (a *Account) byVM(byZone bool) map[life]map[Item]int64 {
-	out := make(map[life]map[Item]int64)
-	for l, counts := range a.lives {
-		l.incarnation = ""
+// byVM sums the counts of each VM's incarnations.
+func (s *Account) byVM(byZone bool) map[incarnation]map[Item]int64 {
+	out := make(map[incarnation]map[Item]int64)
+	for vm, counts := range s.counts {
+		vm.incarnation = ""
 		if !byZone {
-			l.zone = ""
+			vm.zone = ""
 		}
-		if out[l] == nil {
-			out[l] = make(map[Item]int64)
+		if out[vm] == nil {
+			out[vm] = make(map[Item]int64)
 		}
 		for i, n := range counts {
-			out[l][i] += n
+			out[vm][i] += n
 		}
 	}
 	return out
--- a/spending/spending_test.go
+++ b/spending/spending_test.go
@@ -16,8 +16,8 @@
 	"endivemoor.example/endivemoor/logging"
 )
 
-// sink is a network whose peers read everything and answer three bytes.
-func sink(context.Context, string, string) (net.Conn, error) {
+// replyDialer returns connections whose peer reads five bytes and answers with three.
+func replyDialer(context.Context, string, string) (net.Conn, error) {
 	here, there := net.Pipe()
 	go func() {
 		var got [5]byte
@@ -29,7 +29,7 @@
 
 func TestBytesAreCountedInBothDirectionsByPurposeAndReach(t *testing.T) {
 	m := NewMeter(prometheus.NewRegistry())
-	dial := m.Dial(Relay, sink, func(addr string) Reach {
+	dial := m.Dial(Relay, replyDialer, func(addr string) Reach {
 		if strings.HasPrefix(addr, "10.1.") {
 			return Near
 		}
@@ -47,24 +47,24 @@
 	require.Equal(t, int64(16), m.byteCounter(Relay, Far).n.Load())
 }
 
-// checked is a connection that knows by itself whether it is idle.
-type checked struct{ net.Conn }
+// selfCheckedConn is a connection that implements idleChecker.
+type selfCheckedConn struct{ net.Conn }
 
-func (checked) Idle() bool { return false }
+func (selfCheckedConn) Idle() bool { return false }
 
-// A pool checks idle connections before it uses them again. Counting must not
-// hide what it checks by.
+// Failure guarded against: counting hides the interfaces by which a pool checks an idle connection
+// before it reuses it.
 func TestCountedConnectionsKeepTheirChecks(t *testing.T) {
-	c, ok := count(checked{}, &total{}).(idler)
+	c, ok := countBytes(selfCheckedConn{}, &total{}).(idleChecker)
 	require.True(t, ok)
 	require.False(t, c.Idle())
-	_, ok = count(&net.TCPConn{}, &total{}).(syscall.Conn)
+	_, ok = countBytes(&net.TCPConn{}, &total{}).(syscall.Conn)
 	require.True(t, ok)
-	_, ok = count(&net.TCPConn{}, &total{}).(idler)
+	_, ok = countBytes(&net.TCPConn{}, &total{}).(idleChecker)
 	require.False(t, ok)
 }
 
-// lines is what VMs log of their spending.
+// lines returns the log lines of a VM that reports its counts twice.
 func lines(t *testing.T, vm, zone, incarnation string, spend func(m *Meter)) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -77,20 +77,20 @@
 	return out.String()
 }
 
-// A VM was started again in the middle of the day: the counts of both of its
-// processes belong to it, and of each only the last line counts.
+// A VM restarts within the logged time. The counts of both incarnations belong to the VM, and only
+// the last line of each incarnation counts.
 func TestAccountSumsProcessesAndVMs(t *testing.T) {
 	log := "nothing of ours\n" +
 		lines(t, "a", "east", "a-1", func(m *Meter) { m.Asked(Witness); m.Called("ours", "watch") }) +
 		lines(t, "a", "east", "a-2", func(m *Meter) { m.Asked(Witness) }) +
 		lines(t, "b", "west", "b-1", func(m *Meter) { m.Asked(Witness); m.Asked(Witness); m.Asked(Witness) })
-	account := NewAccount()
-	require.NoError(t, account.Read(strings.NewReader(log)))
+	summary := NewAccount()
+	require.NoError(t, summary.Read(strings.NewReader(log)))
 	require.Equal(t, []Row{
 		{Family: Calls, Name: "ours", Detail: "watch", VMs: 1, Total: 2, Most: 2, MostAt: "a"},
 		{Family: Questions, Name: "witness", VMs: 2, Total: 10, Most: 6, MostAt: "b"},
-	}, account.Rows(false))
-	rows := account.Rows(true)
+	}, summary.Rows(false))
+	rows := summary.Rows(true)
 	require.Len(t, rows, 3)
 	require.Equal(t, Row{Family: Questions, Name: "witness", Zone: "west", VMs: 1, Total: 6, Most: 6, MostAt: "b"}, rows[1])
 }
--- a/spending/total.go
+++ b/spending/total.go
@@ -10,29 +10,28 @@
 	"go.uber.org/zap"
 )
 
-// Family is what is counted.
+// Family is a group of counts.
 type Family string
 
-// Families of counts.
 const (
 	Bytes     Family = "bytes"
 	Questions Family = "questions"
 	Calls     Family = "calls"
 )
 
-// Item is one thing that is counted.
+// Item identifies one count.
 type Item struct {
 	Family Family
-	// Name is the purpose of bytes, the reason of questions, the kind of calls.
+	// Name is the purpose of bytes, the reason of queries, or the kind of calls.
 	Name string
-	// Detail is the reach of bytes and the verb of calls; questions have none.
+	// Detail is the reach of bytes or the verb of calls; empty for queries.
 	Detail string
 }
 
 // separator joins the parts of an Item's key.
 const separator = "."
 
-// Key is the Item's name in a log line.
+// Key returns the Item's key in a log line.
 func (i Item) Key() string {
 	parts := []string{string(i.Family), i.Name}
 	if i.Detail != "" {
@@ -41,7 +40,7 @@
 	return strings.Join(parts, separator)
 }
 
-// parseKey is the inverse of Key; false if the key is of something else.
+// parseKey is the inverse of Key. It returns false if the key does not belong to an Item.
 func parseKey(key string) (Item, bool) {
 	parts := strings.SplitN(key, separator, 3)
 	if len(parts) < 2 || !slices.Contains([]Family{Bytes, Questions, Calls}, Family(parts[0])) {
@@ -58,7 +57,7 @@
 	return cmp.Or(cmp.Compare(i.Family, o.Family), cmp.Compare(i.Name, o.Name), cmp.Compare(i.Detail, o.Detail))
 }
 
-// total is one running count.
+// total is one count and its metric.
 type total struct {
 	n      atomic.Int64
 	metric prometheus.Counter
@@ -69,7 +68,7 @@
 	t.metric.Add(float64(n))
 }
 
-// Fields are all counts since the VM's start, in a fixed order.
+// Fields returns all counts since the VM's start, in a fixed order.
 func (m *Meter) Fields() []zap.Field {
 	m.mu.Lock()
 	defer m.mu.Unlock()
