--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,13 +1,12 @@
-// Package explain keeps recorded decisions with the evidence as it was when
-// they were taken, so that an operator can ask why a request went where it did
-// or why a server was promoted. It holds the newest records of this daemon
-// only; what must last goes into the audit trail.
+// Package explain keeps recorded decisions, each with the evidence at the time of the decision, so
+// that an operator can find out why a request was routed to a server or why a server was promoted.
+// Ring holds only the newest records of this daemon; permanent records belong in the audit trail.
 package explain
 
 import "sync"
 
-// Ring holds at most its capacity of records, by id; the oldest is dropped
-// first. It is safe for use by many goroutines.
+// Ring holds a limited number of records by ID and drops the oldest first. It is safe for
+// concurrent use.
 type Ring struct {
 	mu    sync.RWMutex
 	order []string
@@ -15,24 +14,24 @@
 	byID  map[string]any
 }
 
-// NewRing returns a ring of the given capacity, at least 1.
+// NewRing returns a ring of the given capacity, which is at least 1.
 func NewRing(capacity int) *Ring {
 	capacity = max(capacity, 1)
 	return &Ring{order: make([]string, capacity), byID: make(map[string]any, capacity)}
 }
 
-// Add stores record under id. A record is immutable from then on. Adding an id
-// again replaces its record and keeps its age.
+// Add stores record under id. The record must not be modified afterwards. Adding an ID again
+// replaces its record and keeps its place in the order.
 func (r *Ring) Add(id string, record any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, known := r.byID[id]; !known {
-		r.claimSlot(id)
+		r.takeSlot(id)
 	}
 	r.byID[id] = record
 }
 
-func (r *Ring) claimSlot(id string) {
+func (r *Ring) takeSlot(id string) {
 	if old := r.order[r.next]; old != "" {
 		delete(r.byID, old)
 	}
@@ -40,7 +39,6 @@
 	r.next = (r.next + 1) % len(r.order)
 }
 
-// Get returns the record of id.
 func (r *Ring) Get(id string) (any, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
