--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -40,26 +40,26 @@
 	require.Empty(t, Verify(nil))
 }
 
-// An operator edits the reason of a publish in the store. Its digest no longer
-// covers what it says.
+// An operator edits the reason of a publish in the store, so its digest does not match its content.
 func TestChangedEntryIsNamed(t *testing.T) {
 	entries := trail(5)
 	entries[2].Reason = "routine"
 	require.Equal(t, []Fault{{Kind: Changed, Seq: 3, Message: "its content does not match its digest"}}, Verify(entries))
 }
 
-// The same, but the digest is computed anew: the next entry gives it away.
+// An operator edits an entry and recomputes its digest, so the next entry's link to it does not
+// match.
 func TestRewrittenEntryIsNamedByItsSuccessor(t *testing.T) {
 	entries := trail(5)
 	entries[2].Reason = "routine"
-	entries[2].Digest = entries[2].compute()
+	entries[2].Digest = entries[2].computeDigest()
 	faults := Verify(entries)
 	require.Equal(t, []FaultKind{Rewritten}, kinds(faults))
 	require.EqualValues(t, 3, faults[0].Seq)
 }
 
-// Everything from entry 3 on is written anew. Only the head that the auditor
-// noted last month tells; it also tells a tail that was cut off.
+// All entries from entry 3 on are rewritten consistently, or the end of the trail is cut off. Only
+// a head that an auditor recorded earlier reveals it.
 func TestAnchorTellsARewrittenOrCutTail(t *testing.T) {
 	entries := trail(5)
 	noted := entries[4].Head()
@@ -72,7 +72,7 @@
 	require.Equal(t, []FaultKind{Dropped}, kinds(Verify(entries[:4], noted)))
 }
 
-// Any one entry dropped, repeated or moved is named with its number.
+// Any single entry that is dropped, repeated or moved must be reported with its number.
 func TestEveryTamperedOrderIsNamed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := trail(rapid.IntRange(3, 12).Draw(t, "length"))
@@ -94,8 +94,7 @@
 	})
 }
 
-// A retry that wrote the same act twice is not a valid trail, though every
-// digest is right.
+// A retry that writes the same act twice makes the trail invalid, although every digest matches.
 func TestActRecordedTwiceIsNamed(t *testing.T) {
 	entries := trail(2)
 	entries = append(entries, Next(entries[1].Head(), entries[0].Draft))
@@ -125,10 +124,10 @@
 }
 
 func TestTextsAreClippedAndValid(t *testing.T) {
-	long := string(make([]byte, 2*maxDetail))
+	long := string(make([]byte, 2*maxDetailBytes))
 	e := Next(Head{}, Draft{ID: "a", Reason: long, Actor: "\xffx", To: long})
-	require.Len(t, e.Reason, maxField)
-	require.Len(t, e.To, maxDetail)
+	require.Len(t, e.Reason, maxFieldBytes)
+	require.Len(t, e.To, maxDetailBytes)
 	back, err := Import(Export([]Entry{e}))
 	require.NoError(t, err)
 	require.Empty(t, Verify(back))
--- a/audit/bench_test.go
+++ b/audit/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The cost of checking a trail, by its length.
+// BenchmarkVerify measures the time to verify a trail, by its length.
 func BenchmarkVerify(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000, 100_000} {
 		entries := trail(n)
--- a/audit/doc.go
+++ b/audit/doc.go
@@ -1,9 +1,9 @@
-// Package audit is the trail of changes: append-only entries, each of which
-// holds the digest of the one before it. Whoever reads the trail later needs to
-// trust neither the proxy nor the operator that wrote it: Verify names an entry
-// that was changed, dropped, repeated or reordered. A trail that was rewritten
-// from some entry to its end is consistent in itself; only a Head noted
-// elsewhere earlier, an anchor, shows it.
+// Package audit defines the audit trail: append-only entries, each of which contains the digest of
+// the previous one. A reader needs to trust neither the proxy nor the operator that wrote the
+// trail: Verify reports entries that were changed, dropped, repeated or reordered. A trail that was
+// rewritten from some entry to its end is consistent in itself; only an anchor, a Head that was
+// recorded elsewhere earlier, reveals the change.
 //
-// The package is pure; package audit/log keeps the entries in the platform.
+// Entry and Verify are the declarations to begin with. The package does no I/O; package audit/log
+// stores the entries in the platform.
 package audit
--- a/audit/export.go
+++ b/audit/export.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// Export returns the entries as JSON lines in canonical form, one entry a line.
-// A line with its digest emptied is what the digest covers.
+// Export returns the entries as JSON lines in canonical form, one entry a line. An entry's digest
+// covers its line with the digest emptied.
 func Export(entries []Entry) []byte {
 	var b bytes.Buffer
 	for _, e := range entries {
@@ -18,8 +18,8 @@
 	return b.Bytes()
 }
 
-// Import reads what Export wrote. A field that it does not know is an error, so
-// that nothing stands in an export that no digest covers.
+// Import reads the output of Export. An unknown field is an error, so that an export contains
+// nothing that no digest covers.
 func Import(text []byte) ([]Entry, error) {
 	var entries []Entry
 	for i, line := range bytes.Split(text, []byte("\n")) {
--- a/audit/verify.go
+++ b/audit/verify.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// FaultKind says what is wrong at a place of a trail.
+// FaultKind is the kind of a fault in a trail.
 type FaultKind string
 
 const (
@@ -10,43 +10,43 @@
 	Changed FaultKind = "changed"
 	// Dropped entries are missing.
 	Dropped FaultKind = "dropped"
-	// Repeated entries stand more than once, or two share an act's ID.
+	// Repeated entries appear more than once, or two entries share an act's ID.
 	Repeated FaultKind = "repeated"
-	// Reordered entries stand after a later one.
+	// Reordered entries appear after a later entry.
 	Reordered FaultKind = "reordered"
-	// Rewritten entries match their own digest, but not what their neighbour or
-	// an anchor says of them.
+	// Rewritten entries match their own digest, but not the digest in the next entry or in an
+	// anchor.
 	Rewritten FaultKind = "rewritten"
 )
 
-// Fault is one thing that Verify found.
+// Fault is one fault found by Verify.
 type Fault struct {
 	Kind FaultKind `json:"kind"`
-	// Seq is the first entry concerned.
+	// Seq is the first entry affected.
 	Seq     uint64 `json:"seq"`
 	Message string `json:"message"`
 }
 
-// String is one line for people.
+// String returns the fault as one line of text.
 func (f Fault) String() string { return fmt.Sprintf("entry %d %s: %s", f.Seq, f.Kind, f.Message) }
 
-// Verify checks a whole trail from its first entry, in the order given, and
-// that it holds every anchor. It returns all faults; none means that the trail
-// is as it was written, up to the last anchor at least.
+// Verify checks a whole trail from its first entry, in the given order, and that it contains every
+// anchor. It returns all faults. No faults mean that the trail is as it was written, at least up to
+// the last anchor.
 func Verify(entries []Entry, anchors ...Head) []Fault {
 	v := verifier{digests: map[uint64]string{}, ids: map[string]uint64{}}
 	for _, e := range entries {
-		v.entry(e)
+		v.checkEntry(e)
 	}
 	for _, a := range anchors {
-		v.anchor(a)
+		v.checkAnchor(a)
 	}
 	return v.faults
 }
 
 type verifier struct {
 	faults []Fault
-	// last is the entry before, in the order of the trail.
+	// last is the previous entry, in the order of the trail.
 	last    Head
 	highest uint64
 	digests map[uint64]string
@@ -57,19 +57,19 @@
 	v.faults = append(v.faults, Fault{Kind: kind, Seq: seq, Message: fmt.Sprintf(format, args...)})
 }
 
-func (v *verifier) entry(e Entry) {
-	if e.compute() != e.Digest {
+func (v *verifier) checkEntry(e Entry) {
+	if e.computeDigest() != e.Digest {
 		v.fault(Changed, e.Seq, "its content does not match its digest")
 	}
-	v.order(e)
-	v.identity(e)
+	v.checkOrder(e)
+	v.checkID(e)
 	v.digests[e.Seq] = e.Digest
 	v.highest = max(v.highest, e.Seq)
 	v.last = e.Head()
 }
 
-// order checks the entry's number and its link to the entry before it.
-func (v *verifier) order(e Entry) {
+// checkOrder checks the entry's number and its link to the previous entry.
+func (v *verifier) checkOrder(e Entry) {
 	_, seen := v.digests[e.Seq]
 	switch {
 	case seen || e.Seq == 0:
@@ -83,7 +83,7 @@
 	}
 }
 
-func (v *verifier) identity(e Entry) {
+func (v *verifier) checkID(e Entry) {
 	if first, ok := v.ids[e.ID]; ok && first != e.Seq {
 		v.fault(Repeated, e.Seq, "entry %d records the same act %q", first, e.ID)
 		return
@@ -91,7 +91,7 @@
 	v.ids[e.ID] = e.Seq
 }
 
-func (v *verifier) anchor(a Head) {
+func (v *verifier) checkAnchor(a Head) {
 	if a.Seq == 0 {
 		return
 	}
