--- a/audit/log/bench_test.go
+++ b/audit/log/bench_test.go
@@ -9,23 +9,23 @@
 	"endivemoor.example/endivemoor/store"
 )
 
-// weighed counts the bytes written.
-type weighed struct {
+// countingStore counts the bytes written.
+type countingStore struct {
 	*platformd.Store
 	bytes int
 }
 
-func (w *weighed) Put(ctx context.Context, p store.Purpose, key string, value []byte, expect store.Version) (store.Version, error) {
+func (w *countingStore) Put(ctx context.Context, p store.Purpose, key string, value []byte, expect store.Version) (store.Version, error) {
 	w.bytes += len(value)
 	return w.Store.Put(ctx, p, key, value, expect)
 }
 
-// What one act costs the store when acts come singly or in batches, as a
-// daemon's recorder writes them.
+// BenchmarkAppend measures the store operations and bytes for each act, when acts are appended
+// singly or in batches as a daemon's recorder writes them.
 func BenchmarkAppend(b *testing.B) {
 	for _, batch := range []int{1, 4, 16, 64} {
 		b.Run(fmt.Sprintf("batch=%d", batch), func(b *testing.B) {
-			w := &weighed{Store: platformd.NewStore()}
+			w := &countingStore{Store: platformd.NewStore()}
 			l := open(w)
 			ctx := context.Background()
 			n := 0
--- a/audit/log/find.go
+++ b/audit/log/find.go
@@ -10,15 +10,15 @@
 	"endivemoor.example/endivemoor/store"
 )
 
-// search remembers which acts are not in the trail, and up to which full
-// segment that is known.
+// search holds the acts that were not found in the trail so far, and the segment from which the
+// search continues.
 type search struct {
-	left []Pending
-	from int
+	remaining []Pending
+	from      int
 }
 
 func newSearch(acts []Pending) *search {
-	s := &search{left: acts, from: acts[0].Since}
+	s := &search{remaining: acts, from: acts[0].Since}
 	for _, a := range acts {
 		s.from = min(s.from, a.Since)
 	}
@@ -26,21 +26,22 @@
 	return s
 }
 
-func (s *search) missing() []Pending { return s.left }
+func (s *search) missing() []Pending { return s.remaining }
 
-// drop removes the acts that the segment holds.
+// drop removes the acts that the segment contains.
 func (s *search) drop(in stored) {
 	var left []Pending
-	for _, a := range s.left {
+	for _, a := range s.remaining {
 		if !in.has(a.ID) {
 			left = append(left, a)
 		}
 	}
-	s.left = left
+	s.remaining = left
 }
 
-// find looks for the acts from the segment they may be in to the last one, and
-// returns the last one with the head of the trail before or in it.
+// find searches for the acts from the first segment that may contain them to the last one. It
+// returns the last segment and the head of the trail, which is in that segment or in the one before
+// it.
 func (l *Log) find(ctx context.Context, s *search) (stored, audit.Head, error) {
 	for {
 		at, err := l.read(ctx, s.from)
@@ -61,7 +62,7 @@
 	}
 }
 
-// headBefore returns the end of the segment before the number.
+// headBefore returns the head at the end of the segment before number.
 func (l *Log) headBefore(ctx context.Context, number int) (audit.Head, error) {
 	if number == firstSegment {
 		return audit.Head{}, nil
@@ -76,7 +77,7 @@
 	return before.head(), nil
 }
 
-// open finds the segment that may be appended to, from the hint on.
+// open finds the segment that may be appended to, starting at the hint.
 func (l *Log) open(ctx context.Context) (stored, audit.Head, error) {
 	from, err := l.hint(ctx)
 	if err != nil {
@@ -112,15 +113,14 @@
 	return decode(o, number)
 }
 
-// Has reports whether the trail holds the act.
+// Has reports whether the trail contains the act.
 func (l *Log) Has(ctx context.Context, act Pending) (bool, error) {
 	search := newSearch([]Pending{act})
 	_, _, err := l.find(ctx, search)
 	return len(search.missing()) == 0, err
 }
 
-// All returns the whole trail in order. A missing segment leaves a gap, which
-// audit.Verify names.
+// All returns the whole trail in order. A missing segment leaves a gap, which audit.Verify reports.
 func (l *Log) All(ctx context.Context) ([]audit.Entry, error) {
 	end, err := l.hint(ctx)
 	if err != nil {
--- a/audit/log/log.go
+++ b/audit/log/log.go
@@ -17,37 +17,36 @@
 // Log appends to the trail and reads it. It is safe for concurrent use.
 type Log struct {
 	store store.Store
-	// pause is the time between two read-backs, and after a lost race.
+	// pause is the time between two read-backs, and the time before another try after a conflicting
+	// write.
 	pause time.Duration
-	// guards are taken out by tests only.
+	// guards are disabled only by tests.
 	guards guard.Set
 }
 
-// Guards that a test may take out.
+// Guards that a test may disable.
 const (
-	// GuardActID looks for an act by its ID before it is written.
+	// GuardActID searches for an act by its ID before it is written.
 	GuardActID guard.Name = "audit/act-id"
-	// GuardReadBack judges by the acts' IDs what became of an append whose
-	// answer was lost.
+	// GuardReadBack determines by the acts' IDs whether an append whose answer was lost took effect.
 	GuardReadBack guard.Name = "audit/read-back"
 )
 
 // New returns a log in the store.
 func New(s store.Store) *Log { return &Log{store: s, pause: readback.DefaultPause} }
 
-// WithPause returns the log with another pause between tries.
+// WithPause returns a copy of the log with another pause between tries.
 func (l *Log) WithPause(d time.Duration) *Log {
 	next := *l
 	next.pause = d
 	return &next
 }
 
-// Pending is an act that is to be recorded, maybe by another command than the
-// one that prepared it.
+// Pending is an act to be recorded, possibly by another command than the one that prepared it.
 type Pending struct {
 	audit.Draft
-	// Since is the segment that was the last when the act was prepared: the
-	// act is in none before it.
+	// Since is the segment that was the last one when the act was prepared; no earlier segment
+	// contains the act.
 	Since int `json:"since"`
 }
 
@@ -57,25 +56,22 @@
 	return s.Number, err
 }
 
-// UnknownError says that the store stopped answering after an append was sent:
-// whether the entries stand in the trail must be asked again, with the same
-// IDs.
+// UnknownError reports that the store stopped answering after an append was sent, so that the
+// entries may or may not be in the trail. The caller must check again, with the same IDs.
 type UnknownError struct{ Cause error }
 
-// Error names the cause.
 func (e *UnknownError) Error() string { return "audit entry may have been written: " + e.Cause.Error() }
 
-// Unwrap returns the cause.
 func (e *UnknownError) Unwrap() error { return e.Cause }
 
-// Append records the acts, those only that the trail does not hold yet. It
-// tries until it has a certain answer or ctx ends. A nil error says that all
-// stand in the trail once; *UnknownError that some may; any other error that
-// none was added by this call since its last certain answer.
+// Append records those of the acts that the trail does not contain yet. It tries until the outcome
+// is certain or ctx ends. A nil error means that the trail contains each act once. An *UnknownError
+// means that it may contain some of them. Any other error means that this call added none since the
+// last outcome that was certain.
 func (l *Log) Append(ctx context.Context, acts ...Pending) error {
 	left := acts
 	for len(left) > 0 {
-		n := batch(left)
+		n := batchLen(left)
 		if err := l.appendBatch(ctx, left[:n]); err != nil {
 			return err
 		}
@@ -84,8 +80,8 @@
 	return nil
 }
 
-// batch returns how many acts fit one append, at least one.
-func batch(acts []Pending) int {
+// batchLen returns the number of acts that fit in one append, at least one.
+func batchLen(acts []Pending) int {
 	size := 0
 	for i, a := range acts {
 		text, _ := json.Marshal(a.Draft)
@@ -111,22 +107,22 @@
 		result, err := l.write(ctx, last, next)
 		switch result.Outcome {
 		case readback.Won:
-			l.noteHead(ctx, last)
+			l.updateHeadHint(ctx, last)
 			return nil
 		case readback.Unknown:
 			return &UnknownError{Cause: err}
 		case readback.NotSent:
 			return err
 		}
-		// Lost: another writer was first. Chain behind it.
+		// Lost: another writer was first. Append after its entries.
 		if !wait.For(ctx, l.pause) {
 			return errors.WithMessage(store.ErrUnavailable, "other writers were first until the time ran out")
 		}
 	}
 }
 
-// extend returns the segment with the acts chained behind head; nil if there
-// are none.
+// extend returns the segment's entries with the acts chained behind head, or nil if there are no
+// acts.
 func extend(s segment, head audit.Head, acts []Pending) []audit.Entry {
 	if len(acts) == 0 {
 		return nil
@@ -151,8 +147,9 @@
 		Value:   value,
 		Expect:  last.version,
 		Pause:   l.pause,
-		// A later writer only adds to the segment, so our entries tell. They are
-		// judged by ID: a racing command may have recorded the very same act.
+		// A later writer only adds to the segment, so the write took effect if the segment contains
+		// its entries. They are compared by ID, because a concurrent command may have recorded the
+		// same act.
 		Mine: func(o store.Object) bool {
 			s, err := decode(o, last.Number)
 			return err == nil && s.hasAll(entries[len(last.Entries):]) && !l.guards.Out(GuardReadBack)
@@ -160,9 +157,9 @@
 	})
 }
 
-// noteHead moves the hint when a new segment was begun. It is best effort: a
-// hint that lags costs reads, nothing else.
-func (l *Log) noteHead(ctx context.Context, last stored) {
+// updateHeadHint moves the hint after a new segment was started. It ignores errors, because an
+// outdated hint only costs reads.
+func (l *Log) updateHeadHint(ctx context.Context, last stored) {
 	if last.version != 0 {
 		return
 	}
--- a/audit/log/log_test.go
+++ b/audit/log/log_test.go
@@ -37,8 +37,8 @@
 	return entries
 }
 
-// Eight writers append at once while half of all answers are lost and segments
-// fill up. Every act must stand in the trail once, in one unbroken chain.
+// Concurrent writers append while half of all answers are lost and segments fill up. Every act must
+// be in the trail once, in one unbroken chain.
 func TestRacingWritersWithLostAnswersNeitherLoseNorDouble(t *testing.T) {
 	const writers, each = 6, 25
 	ctx := context.Background()
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// A command was killed after its entry was written, and another one finishes
-// its work segments later. The act must not stand twice.
+// Failure guarded against: a command is killed after its entry was written, another one completes
+// its work when the trail is some segments longer, and the act is recorded twice.
 func TestActIsRecognisedInAnEarlierSegment(t *testing.T) {
 	ctx := context.Background()
 	s := platformd.NewStore()
@@ -90,9 +90,9 @@
 	requireTrail(t, s, 151)
 }
 
-// The same act is written again, after a lost answer or by another command.
-// Without its ID being looked for it stands twice, and Verify says so. Without
-// the read-back alone, the ID still catches it: the two guards cover each other.
+// The same act is written again, after a lost answer or by another command. Without the search for
+// its ID the act is recorded twice, and Verify reports it. Without only the read-back, the search
+// for the ID still finds the act: the two guards cover each other.
 func TestActIDGuardIsNeeded(t *testing.T) {
 	for _, c := range []struct {
 		guards guard.Set
@@ -115,8 +115,8 @@
 	}
 }
 
-// A batch races with another command that recorded one act of it first. The
-// others must still be written, that one not again.
+// Another command recorded one act of a batch first. The other acts must still be written, and that
+// one not again.
 func TestBatchKeepsWhatAnotherCommandLeft(t *testing.T) {
 	ctx := context.Background()
 	s := platformd.NewStore()
@@ -127,8 +127,8 @@
 	require.Equal(t, "c", entries[2].ID)
 }
 
-// A put is held up in the network, its writer gives up, and the put arrives
-// after others have appended. It must not cut their entries off.
+// Failure guarded against: a put is delayed in the network, its writer gives up, and the put
+// arrives after other writers have appended and overwrites their entries.
 func TestLateAppendChangesNothing(t *testing.T) {
 	s := platformd.NewStore()
 	s.SetFaults(platformd.Faults{HoldRequests: 1})
@@ -138,9 +138,9 @@
 	requireTrail(t, s, 2)
 }
 
-// The store is down when a daemon promotes a primary. The act waits in memory,
-// the daemon says so, and it is written once when the store is back, although
-// the first answer then is lost.
+// The store is down when a daemon promotes a primary. The act must wait in memory, the daemon must
+// report it as waiting, and it must be written once when the store is back, although the first
+// answer is lost then.
 func TestOwnActsWaitOutAnOutage(t *testing.T) {
 	s := platformd.NewStore()
 	s.SetFaults(platformd.Faults{Down: true})
@@ -163,8 +163,8 @@
 	requireTrail(t, s, 3)
 }
 
-// The outage lasts and the queue fills. The act is refused to its face, never
-// dropped in silence.
+// The store is down for so long that the queue is full. The next act must be refused with an error,
+// not dropped silently.
 func TestFullQueueRefuses(t *testing.T) {
 	r, err := NewRecorder(open(platformd.NewStore()), zap.NewNop(), nil)
 	require.NoError(t, err)
@@ -175,8 +175,7 @@
 	require.Equal(t, queueLimit, r.Waiting())
 }
 
-// Somebody deletes a middle segment in the store. The trail must say which
-// entries are gone.
+// A middle segment is deleted from the store. Verify must report the missing entries.
 func TestDeletedSegmentIsNamed(t *testing.T) {
 	ctx := context.Background()
 	s := platformd.NewStore()
@@ -192,8 +191,8 @@
 	require.Equal(t, audit.Dropped, faults[0].Kind)
 }
 
-// The store goes down between the lost answer and the read-back: the caller
-// must hear "may have been written", and asking again with the ID settles it.
+// The store fails between the lost answer and the read-back. The caller must get an UnknownError,
+// and a second append with the same ID must settle the outcome.
 func TestUnansweredAppendIsUnknownAndSettledByItsID(t *testing.T) {
 	s := platformd.NewStore()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -206,7 +205,7 @@
 	requireTrail(t, s, 1)
 }
 
-// outageAfterPut goes down after one update, and ends the caller's time.
+// outageAfterPut makes the store unavailable after one update and cancels the caller's context.
 type outageAfterPut struct {
 	*platformd.Store
 	cancel func()
--- a/audit/log/recorder.go
+++ b/audit/log/recorder.go
@@ -13,7 +13,7 @@
 	"endivemoor.example/endivemoor/internal/wait"
 )
 
-// queueLimit bounds the acts that wait in memory.
+// queueLimit is the maximum number of acts waiting in memory.
 const queueLimit = 4096
 
 const (
@@ -21,15 +21,14 @@
 	retryPause   = time.Second
 )
 
-// ErrQueueFull says that an act was not taken: the store has been down for so
-// long that the queue is full. The act must be told elsewhere.
+// ErrQueueFull reports that an act was not queued, because the store has been down for so long that
+// the queue is full. The caller must report the act by other means.
 var ErrQueueFull = errors.New("audit queue is full")
 
-// Recorder writes the fleet's own acts, such as promotions, in the background.
-// An act waits in memory while the store is down, under the ID that it got at
-// first, so that a flush with a lost answer does not double it. What waits is
-// lost with the process; Waiting and the metric endivemoor_audit_waiting say
-// how much that is.
+// Recorder writes the fleet's own acts, such as promotions, in the background. An act waits in
+// memory while the store is down. It keeps its first ID, so that a flush whose answer was lost does
+// not record it twice. Waiting acts are lost when the process ends; Waiting and the metric
+// endivemoor_audit_waiting report their number.
 type Recorder struct {
 	log   *Log
 	zap   *zap.Logger
@@ -40,7 +39,7 @@
 	queue []Pending
 }
 
-// NewRecorder returns a recorder into log. Run must be started.
+// NewRecorder returns a recorder that writes to log. The caller must start Run.
 func NewRecorder(log *Log, z *zap.Logger, r prometheus.Registerer) (*Recorder, error) {
 	rec := &Recorder{log: log, zap: z, wake: make(chan struct{}, 1), pause: retryPause}
 	if r == nil {
@@ -53,8 +52,8 @@
 	return rec, errors.Wrap(r.Register(gauge), "register audit metric")
 }
 
-// Record queues an act. It does not wait for the store. The ID must be unique
-// to the act; Since may be 0 if no other process records the same ID.
+// Record queues an act without waiting for the store. The ID must be unique to the act. Since may
+// be 0 if no other process records the same ID.
 func (r *Recorder) Record(act Pending) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,14 +69,14 @@
 	return nil
 }
 
-// Waiting returns how many acts are not yet known to be in the trail.
+// Waiting returns the number of acts that are not confirmed to be in the trail.
 func (r *Recorder) Waiting() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.queue)
 }
 
-// Run flushes the queue until ctx ends, and once more then within timeout.
+// Run flushes the queue until ctx ends, and then once more within timeout.
 func (r *Recorder) Run(ctx context.Context, timeout time.Duration) {
 	for {
 		select {
@@ -96,8 +95,8 @@
 	}
 }
 
-// flush writes what waits and reports whether that succeeded. An act leaves the
-// queue only when it certainly stands in the trail.
+// flush writes the queued acts and reports whether it succeeded. An act is removed from the queue
+// only when it is certain that the trail contains it.
 func (r *Recorder) flush(ctx context.Context) bool {
 	r.mu.Lock()
 	acts := append([]Pending(nil), r.queue...)
@@ -107,7 +106,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
-	if err := r.locate(ctx, acts); err != nil {
+	if err := r.setSince(ctx, acts); err != nil {
 		r.warn(len(acts), err)
 		return false
 	}
@@ -121,9 +120,9 @@
 	return true
 }
 
-// locate sets where a new act may stand at the earliest, once: a later flush
-// must look from there, in case this one is written and its answer is lost.
-func (r *Recorder) locate(ctx context.Context, acts []Pending) error {
+// setSince sets, once for each new act, the first segment that may contain it. If this flush writes
+// the act and the answer is lost, a later flush must search from there.
+func (r *Recorder) setSince(ctx context.Context, acts []Pending) error {
 	last := 0
 	for i := range acts {
 		if acts[i].Since != 0 {
--- a/audit/log/segment.go
+++ b/audit/log/segment.go
@@ -11,30 +11,29 @@
 	"endivemoor.example/endivemoor/store"
 )
 
-// Keys of the trail.
+// Object keys of the trail.
 const (
 	SegmentPrefix = "audit/segments/"
 	HeadKey       = "audit/head"
 )
 
-// SegmentBytes is the size from which a segment is full. Each append writes
-// its whole segment, so it is far below store.MaxValue.
+// SegmentBytes is the size at which a segment is full. It is far below store.MaxValue, because each
+// append rewrites the whole segment.
 const SegmentBytes = 48 << 10
 
-// batchBytes bounds one append, so that a segment stays below
-// store.MaxValue also after the append that fills it.
+// batchBytes limits one append, so that a segment stays below store.MaxValue even after the append
+// that fills it.
 const batchBytes = 256 << 10
 
-// firstSegment is the number of the trail's first segment.
 const firstSegment = 1
 
-// segment is the value of one object.
+// segment is the value of a segment's object.
 type segment struct {
 	Number  int           `json:"number"`
 	Entries []audit.Entry `json:"entries"`
 }
 
-// stored is a segment as read, Version 0 when it does not exist yet.
+// stored is a segment as read from the store. Its version is 0 if it does not exist yet.
 type stored struct {
 	segment
 	version store.Version
