--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves the operators' and the balancer's HTTP endpoint of a
-// daemon: /healthz, /readyz, /metrics, /status and /explain. It only reads.
+// Package admin implements a daemon's HTTP endpoint for operators and the load balancer: /healthz,
+// /readyz, /metrics, /status and /explain. New builds the server. The endpoint is read-only.
 package admin
 
 import (
@@ -14,15 +14,15 @@
 )
 
 const (
-	headerTimeout  = 2 * time.Second
-	explainDefault = 20
+	headerTimeout         = 2 * time.Second
+	defaultExplainRecords = 20
 )
 
-// Readiness says if the balancer should send new connections here, and if not
-// why. It must turn false before the listener closes.
+// Readiness reports whether the load balancer should send new connections to this daemon, and the
+// reason if not. It must return false before the listener closes.
 type Readiness func() (ready bool, reason string)
 
-// Config is what the endpoint shows.
+// Config contains the data sources of the endpoint.
 type Config struct {
 	Ready      Readiness
 	Status     func() any
@@ -31,7 +31,7 @@
 	Gatherer   prometheus.Gatherer
 }
 
-// New returns the HTTP server; the caller listens and serves.
+// New returns the HTTP server. The caller opens the listener and calls Serve.
 func New(c Config) *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", health)
@@ -42,7 +42,7 @@
 	return &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 }
 
-// health answers as long as the process can answer at all.
+// health reports that the process is running.
 func health(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, map[string]string{"health": "ok"})
 }
@@ -60,7 +60,7 @@
 	writeJSON(w, http.StatusOK, c.Status())
 }
 
-// explain answers ?request=ID, ?promotion=GROUP, or the newest requests.
+// explain returns the record for ?request=ID or ?promotion=GROUP, or else the newest requests.
 func (c Config) explain(w http.ResponseWriter, r *http.Request) {
 	if id := r.URL.Query().Get("request"); id != "" {
 		writeRecord(w, c.Requests, id)
@@ -70,7 +70,7 @@
 		writeRecord(w, c.Promotions, group)
 		return
 	}
-	writeJSON(w, http.StatusOK, c.Requests.Newest(explainDefault))
+	writeJSON(w, http.StatusOK, c.Requests.Newest(defaultExplainRecords))
 }
 
 func writeRecord(w http.ResponseWriter, ring *explain.Ring, id string) {
--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -11,8 +11,8 @@
 	"endivemoor.example/endivemoor/explain"
 )
 
-// A daemon drains. The balancer must be told before callers are refused, or
-// new connections land on a proxy that is about to close.
+// Failure guarded against: a draining daemon refuses callers while the load balancer still
+// considers it ready and sends it new connections.
 func TestReadyzTellsTheBalancerWhileHealthStaysUp(t *testing.T) {
 	ready := true
 	srv := New(Config{
