--- a/finding/finding.go
+++ b/finding/finding.go
@@ -1,6 +1,6 @@
-// Package finding carries what a check has to say about a configuration: each
-// finding has its place and how to mend it, and all are reported together, so
-// that an operator corrects a file once and not line by line.
+// Package finding defines the result of checking a configuration. Each Finding has its place and a
+// suggested repair. A check reports all findings together, so that an operator can correct a file
+// in one pass.
 package finding
 
 import (
@@ -10,17 +10,16 @@
 	"strings"
 )
 
-// Severity says if a finding refuses the configuration.
+// Severity determines whether a finding refuses the configuration.
 type Severity uint8
 
 const (
 	// Error refuses the configuration.
 	Error Severity = iota
-	// Warning is reported and does not refuse.
+	// Warning does not refuse the configuration.
 	Warning
 )
 
-// String returns the severity's name.
 func (s Severity) String() string {
 	if s == Warning {
 		return "warning"
@@ -28,23 +27,23 @@
 	return "error"
 }
 
-// MarshalText gives the name in JSON.
+// MarshalText implements encoding.TextMarshaler, so that JSON has the name.
 func (s Severity) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// Finding is one thing that a check found.
+// Finding is one problem found by a check.
 type Finding struct {
 	File    string `json:"file,omitempty"`
 	Section string `json:"section,omitempty"`
 	Key     string `json:"key,omitempty"`
-	// Line is 1-based; 0 means that the finding has no line.
+	// Line is 1-based; 0 if the finding has no line.
 	Line     int      `json:"line,omitempty"`
 	Severity Severity `json:"severity"`
 	Message  string   `json:"message"`
-	// Mend says what to do about it.
+	// Repair is an instruction that resolves the finding.
 	Mend string `json:"mend,omitempty"`
 }
 
-// String is one line: "file:7: [section] key: error: message; mend".
+// String returns one line: "file:7: [section] key: error: message; repair".
 func (f Finding) String() string {
 	var b strings.Builder
 	b.WriteString(f.File)
@@ -67,8 +66,8 @@
 	return b.String()
 }
 
-// Findings is a report. It is an error when it is not empty; use Err to get an
-// error only if something was refused.
+// Findings are the findings of a check. They are an error if there are any, including warnings; Err
+// returns an error only if a finding refuses the configuration.
 type Findings []Finding
 
 // Error returns one line for each finding.
@@ -93,8 +92,8 @@
 	return fs
 }
 
-// Sort orders by file, line, section, key and message, so that two checks of
-// one text report alike.
+// Sort orders the findings by file, line, section, key and message, so that repeated checks of a
+// text give the same report.
 func (fs Findings) Sort() {
 	slices.SortStableFunc(fs, func(a, b Finding) int {
 		return cmp.Or(
--- a/finding/finding_test.go
+++ b/finding/finding_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A check returns only warnings, or nothing. Its caller compares the error with
-// nil, and must not be refused by an empty list in an error's clothes.
+// Failure guarded against: a check without errors returns a typed, empty list as its error, and the
+// caller's comparison with nil refuses the configuration.
 func TestOnlyErrorsRefuse(t *testing.T) {
 	require.NoError(t, Findings(nil).Err())
 	require.NoError(t, Findings{{Severity: Warning, Message: "odd"}}.Err())
