--- a/clock/boottime/boottime.go
+++ b/clock/boottime/boottime.go
@@ -1,8 +1,8 @@
-// Package boottime reads the clock that also counts while the VM is suspended.
+// Package boottime reads the clock that includes the time while the VM is suspended.
 //
-// Leases, permissions and the age of evidence go by it. On the monotonic clock
-// a VM that was suspended for five seconds would believe its lease to be five
-// seconds younger than it is, and act on a right that has lapsed.
+// Leases, permissions and the age of evidence are measured on this clock. On the monotonic clock, a
+// VM that was suspended for five seconds would consider its lease five seconds younger than it is,
+// and use it after it has expired.
 package boottime
 
 import (
@@ -11,13 +11,13 @@
 	"endivemoor.example/endivemoor/clock"
 )
 
-// Clock is CLOCK_BOOTTIME.
+// Clock reads CLOCK_BOOTTIME.
 type Clock struct{}
 
-// Now returns the time since the VM started, suspended time included.
+// Now returns the time since the VM started, including time in suspension.
 func (Clock) Now() clock.Time {
 	var t unix.Timespec
-	// The call cannot fail for a clock that every kernel in use has.
+	// The call cannot fail: every supported kernel has this clock.
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
 	return clock.Time(t.Nano())
 }
