--- a/clock/monotonic/monotonic.go
+++ b/clock/monotonic/monotonic.go
@@ -8,13 +8,13 @@
 	"endivemoor.example/endivemoor/clock"
 )
 
-// Clock is the process's monotonic clock, with its origin at New.
+// Clock is the monotonic clock of the process. Its origin is the call of New.
 type Clock struct {
 	origin time.Time
 }
 
-// New returns a clock that reads zero now.
+// New returns a clock that starts at zero.
 func New() *Clock { return &Clock{origin: time.Now()} }
 
-// Now returns the time since New. It does not jump when the wall clock is set.
+// Now returns the time since New. Setting the wall clock does not affect it.
 func (c *Clock) Now() clock.Time { return clock.Time(time.Since(c.origin)) }
