--- a/cmd/endivemoor-demo/main.go
+++ b/cmd/endivemoor-demo/main.go
@@ -1,5 +1,5 @@
-// Command endivemoor-demo plays a caller and an operator against the processes
-// that examples/demo/run.sh started, and says step by step what came of it.
+// Command endivemoor-demo acts as a caller and an operator against the processes that
+// examples/demo/run.sh started, and prints the result of each step.
 package main
 
 import (
