--- a/cmd/endivemoor-load/main.go
+++ b/cmd/endivemoor-load/main.go
@@ -1,5 +1,5 @@
-// Command endivemoor-load compares requests through a daemon with requests
-// straight to a database server, in one run.
+// Command endivemoor-load compares requests through a daemon with requests sent directly to a
+// database server, in one run.
 package main
 
 import (
