--- a/cmd/endivemoor-measure/main.go
+++ b/cmd/endivemoor-measure/main.go
@@ -1,5 +1,5 @@
-// Command endivemoor-measure runs the comparisons and the capacity benchmarks
-// that the pages under docs/ quote.
+// Command endivemoor-measure runs the comparisons and capacity benchmarks whose results the pages
+// under docs/ quote.
 package main
 
 import (
