--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin plays the outside systems on one machine: the platform's
-// object API and a database server. It is for demos and tests only.
+// Command standin runs stand-ins for the external systems on one machine: the platform's object API
+// and database servers. It is for demos and tests only.
 package main
 
 import (
--- a/cmd/standin/member.go
+++ b/cmd/standin/member.go
@@ -14,8 +14,8 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// memberCommand serves one server with the address, zone and role that a
-// group's object gives it. Its fault controls listen on a port above.
+// memberCommand serves one database server with the address, zone and role that a group's object
+// assigns to it. Its fault controls listen on the server's port plus ControlOffset.
 type memberCommand struct {
 	Group         string        `help:"File of the group's object." type:"existingfile" required:""`
 	ID            string        `help:"Server of the group." required:""`
@@ -41,7 +41,7 @@
 	if s == nil || primary == nil {
 		return errors.Errorf("%s has no server %s or no primary", c.Group, c.ID)
 	}
-	control, err := shift(s.Addr, c.ControlOffset)
+	control, err := addToPort(s.Addr, c.ControlOffset)
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 	return db.Run()
 }
 
-func shift(addr string, by int) (string, error) {
+func addToPort(addr string, by int) (string, error) {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return "", errors.Wrap(err, "server's address")
