--- a/internal/inidoc/index.go
+++ b/internal/inidoc/index.go
@@ -4,33 +4,33 @@
 
 const (
 	delimiter = "="
-	// outside is ini.v1's name for keys before the first section.
-	outside = "DEFAULT"
+	// defaultSection is ini.v1's name for the keys before the first header.
+	defaultSection = "DEFAULT"
 )
 
-// place names the n-th occurrence (from 0) of a section, and of a key in it.
-// A section's header has an empty key.
-type place struct {
+// location identifies the n-th occurrence (from 0) of a section, or a key in it. The location of a
+// section's header has an empty key.
+type location struct {
 	section    string
 	occurrence int
 	key        string
 }
 
-// index maps places to 1-based lines. Of a key that stands twice the first
-// line is kept.
-type index map[place]int
+// index maps locations to 1-based lines. For a key that appears twice in a section, it contains the
+// first line.
+type index map[location]int
 
 func indexLines(text [][]byte) index {
 	lines := index{}
 	seen := map[string]int{}
-	at := place{section: outside}
+	at := location{section: defaultSection}
 	for i, raw := range text {
 		line := strings.TrimSpace(string(raw))
 		switch {
 		case line == "" || line[0] == '#' || line[0] == ';':
 		case line[0] == '[':
 			name, _, _ := strings.Cut(line[1:], "]")
-			at = place{section: strings.TrimSpace(name), occurrence: seen[name]}
+			at = location{section: strings.TrimSpace(name), occurrence: seen[name]}
 			seen[name]++
 			lines[at] = i + 1
 		default:
--- a/internal/inidoc/load.go
+++ b/internal/inidoc/load.go
@@ -10,11 +10,11 @@
 	"endivemoor.example/endivemoor/finding"
 )
 
-// MaxText is the largest file that is read, in bytes.
+// MaxFileBytes is the size of the largest file that is read.
 const MaxText = 256 << 10
 
-// maxBroken bounds the unreadable lines reported for one file.
-const maxBroken = 20
+// maxUnparsableLines limits the unparsable lines reported for one file.
+const maxUnparsableLines = 20
 
 var options = ini.LoadOptions{
 	IgnoreContinuation:         true,
@@ -26,11 +26,11 @@
 	AllowNonUniqueSections:     true,
 }
 
-// Options are how the library reads: one line a value, no interpolation asked
-// for, and what stands twice kept so that it can be reported.
+// Options returns the options of the parser: one line for each value, no interpolation, and
+// duplicate keys and sections kept so that they can be reported.
 func Options() ini.LoadOptions { return options }
 
-// Document is one parsed file and the findings about it so far.
+// Document is one parsed file with its findings so far.
 type Document struct {
 	// File is the name used in findings.
 	File     string
@@ -38,8 +38,8 @@
 	findings finding.Findings
 }
 
-// Load parses text. What cannot be read becomes findings; the document holds
-// the rest, so that one report names everything.
+// Load parses text. Unreadable parts become findings and the document contains the rest, so that
+// one report covers the whole file.
 func Load(file string, text []byte) *Document {
 	d := &Document{File: file}
 	if len(text) > MaxText {
@@ -53,15 +53,15 @@
 	return d
 }
 
-// parse gives the lines to the library, which stops at the first one that it
-// cannot read. That line is reported and blanked, and the rest read again.
+// parse runs the library on the lines. The library stops at the first line that it cannot parse;
+// parse reports and blanks this line and runs the library on the rest.
 func (d *Document) parse(lines [][]byte) *ini.File {
-	for range maxBroken {
+	for range maxUnparsableLines {
 		parsed, err := ini.LoadSources(options, bytes.Join(lines, []byte("\n")))
 		if err == nil {
 			return parsed
 		}
-		n := brokenLine(lines, err)
+		n := unparsableLine(lines, err)
 		d.report(finding.Finding{Line: n, Message: strings.TrimSpace(err.Error()), Mend: "write [section], key = value or # comment"})
 		if n == 0 {
 			return nil
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// blank empties a line. With a header go the lines of its section: they would
-// be taken for keys of the section before it.
+// blank empties a line. If the line is a header, it also empties the lines of the section, which
+// would otherwise be parsed as keys of the section before it.
 func blank(lines [][]byte, at int) {
 	header := isHeader(lines[at])
 	lines[at] = nil
@@ -86,8 +86,8 @@
 
 func isHeader(line []byte) bool { return bytes.HasPrefix(bytes.TrimSpace(line), []byte("[")) }
 
-// brokenLine finds the line that a parse error quotes; 0 if it cannot.
-func brokenLine(lines [][]byte, err error) int {
+// unparsableLine finds the line that a parse error quotes. It returns 0 if there is none.
+func unparsableLine(lines [][]byte, err error) int {
 	for i, line := range lines {
 		trimmed := bytes.TrimSpace(line)
 		if len(trimmed) > 0 && strings.HasSuffix(strings.TrimSpace(err.Error()), ": "+string(trimmed)) {
@@ -100,8 +100,8 @@
 func (d *Document) collect(parsed *ini.File, lines index) {
 	seen := map[string]int{}
 	for _, s := range parsed.Sections() {
-		section := &Section{doc: d, Name: s.Name(), keys: map[string]entry{}, asked: map[string]bool{}}
-		at := place{section: s.Name(), occurrence: seen[s.Name()]}
+		section := &Section{doc: d, Name: s.Name(), keys: map[string]entry{}, read: map[string]bool{}}
+		at := location{section: s.Name(), occurrence: seen[s.Name()]}
 		section.Line = lines[at]
 		seen[s.Name()]++
 		for _, k := range s.Keys() {
@@ -115,7 +115,7 @@
 			section.Fault("", "section stands more than once", "join them")
 			continue
 		}
-		if section.Name == outside && len(section.keys) == 0 && section.Line == 0 {
+		if section.Name == defaultSection && len(section.keys) == 0 && section.Line == 0 {
 			continue
 		}
 		d.sections = append(d.sections, section)
@@ -125,15 +125,14 @@
 // Sections returns the sections in the order of the file.
 func (d *Document) Sections() []*Section { return d.sections }
 
-// Section returns the named section, or an empty one so that its defaults can
-// be read.
+// Section returns the named section, or an empty one that returns only defaults.
 func (d *Document) Section(name string) *Section {
 	for _, s := range d.sections {
 		if s.Name == name {
 			return s
 		}
 	}
-	return &Section{doc: d, Name: name, keys: map[string]entry{}, asked: map[string]bool{}}
+	return &Section{doc: d, Name: name, keys: map[string]entry{}, read: map[string]bool{}}
 }
 
 // Has reports whether the file has the section.
@@ -152,12 +151,11 @@
 }
 
 // Report adds a finding that belongs to no section.
-func (d *Document) Report(message, mend string) {
-	d.report(finding.Finding{Message: message, Mend: mend})
+func (d *Document) Report(message, repair string) {
+	d.report(finding.Finding{Message: message, Mend: repair})
 }
 
-// Finish adds a finding for every key that nobody asked for, and returns all
-// findings sorted.
+// Finish adds a finding for every key that no accessor read, and returns all findings sorted.
 func (d *Document) Finish() finding.Findings {
 	for _, s := range d.sections {
 		s.reportUnknown()
--- a/internal/inidoc/section.go
+++ b/internal/inidoc/section.go
@@ -16,20 +16,20 @@
 	line  int
 }
 
-// Section is one section. Its accessors return a checked value, or the default
-// when the key is absent or was reported.
+// Section is one section of a document. Its accessors return the checked value, or the default if
+// the key is absent or its value was reported.
 type Section struct {
 	Name string
-	// Line of the header, 0 if unknown.
+	// Line is the line of the header, 0 if unknown.
 	Line    int
 	doc     *Document
 	keys    map[string]entry
-	asked   map[string]bool
+	read    map[string]bool
 	skipped bool
 }
 
-// IsOutside reports whether the section holds keys before the first header.
-func (s *Section) IsOutside() bool { return s.Name == outside }
+// IsDefault reports whether the section contains the keys before the first header.
+func (s *Section) IsOutside() bool { return s.Name == defaultSection }
 
 // Has reports whether the key is present.
 func (s *Section) Has(key string) bool {
@@ -37,7 +37,7 @@
 	return ok
 }
 
-// Keys returns the names present, sorted.
+// Keys returns the names of the keys in the section, sorted.
 func (s *Section) Keys() []string {
 	names := make([]string, 0, len(s.keys))
 	for name := range s.keys {
@@ -48,18 +48,18 @@
 }
 
 // Fault reports an Error about a key, or about the section if key is empty.
-func (s *Section) Fault(key, message, mend string) { s.report(finding.Error, key, message, mend) }
+func (s *Section) Fault(key, message, repair string) { s.report(finding.Error, key, message, repair) }
 
 // Warn reports a Warning.
-func (s *Section) Warn(key, message, mend string) { s.report(finding.Warning, key, message, mend) }
+func (s *Section) Warn(key, message, repair string) { s.report(finding.Warning, key, message, repair) }
 
-// Skip reports the section as a whole and its keys no further.
-func (s *Section) Skip(message, mend string) {
+// Skip reports the whole section, and excludes its keys from further findings.
+func (s *Section) Skip(message, repair string) {
 	s.skipped = true
-	s.Fault("", message, mend)
+	s.Fault("", message, repair)
 }
 
-func (s *Section) report(severity finding.Severity, key, message, mend string) {
+func (s *Section) report(severity finding.Severity, key, message, repair string) {
 	line := s.Line
 	if e, ok := s.keys[key]; ok {
 		line = e.line
@@ -68,10 +68,11 @@
 	if s.IsOutside() {
 		name, line = "", s.firstLine()
 	}
-	s.doc.report(finding.Finding{Section: name, Key: key, Line: line, Severity: severity, Message: message, Mend: mend})
+	s.doc.report(finding.Finding{Section: name, Key: key, Line: line, Severity: severity, Message: message, Mend: repair})
 }
 
-// firstLine is the line of the first key; a section without header has no other.
+// firstLine returns the line of the first key, because a section without a header has no line of
+// its own.
 func (s *Section) firstLine() int {
 	first := s.Line
 	for _, e := range s.keys {
@@ -83,12 +84,12 @@
 }
 
 func (s *Section) get(key string) (string, bool) {
-	s.asked[key] = true
+	s.read[key] = true
 	e, ok := s.keys[key]
 	return e.value, ok
 }
 
-// String returns the text of a key.
+// String returns the value of a key.
 func (s *Section) String(key, def string) string {
 	if v, ok := s.get(key); ok {
 		return v
@@ -96,16 +97,16 @@
 	return def
 }
 
-// Required returns the text of a key, and reports one that is absent or empty.
-func (s *Section) Required(key, mend string) string {
+// Required returns the value of a key, and reports a key that is absent or empty.
+func (s *Section) Required(key, repair string) string {
 	v, _ := s.get(key)
 	if v == "" {
-		s.Fault(key, "key is missing", mend)
+		s.Fault(key, "key is missing", repair)
 	}
 	return v
 }
 
-// Choice returns one of the allowed words.
+// Choice returns the value of a key, which must be one of the allowed values.
 func (s *Section) Choice(key, def string, allowed ...string) string {
 	v, ok := s.get(key)
 	if !ok {
@@ -118,12 +119,12 @@
 	return v
 }
 
-// Bool returns true or false; other spellings are reported.
+// Bool returns the value of a key, which must be true or false.
 func (s *Section) Bool(key string, def bool) bool {
 	return s.Choice(key, strconv.FormatBool(def), "true", "false") == "true"
 }
 
-// Duration returns a span such as 250ms or 10s within the bounds.
+// Duration returns a duration such as 250ms or 10s, which must be within the bounds.
 func (s *Section) Duration(key string, def, least, most time.Duration) time.Duration {
 	v, ok := s.get(key)
 	if !ok {
@@ -141,7 +142,7 @@
 	return d
 }
 
-// Int returns a whole number within the bounds.
+// Int returns an integer, which must be within the bounds.
 func (s *Section) Int(key string, def, least, most int) int {
 	v, ok := s.get(key)
 	if !ok {
@@ -159,7 +160,7 @@
 	return n
 }
 
-// Float returns a number within the bounds; NaN is reported.
+// Float returns a number, which must be within the bounds and not NaN.
 func (s *Section) Float(key string, def, least, most float64) float64 {
 	v, ok := s.get(key)
 	if !ok {
@@ -181,13 +182,13 @@
 	if s.skipped {
 		return
 	}
-	known := make([]string, 0, len(s.asked))
-	for key := range s.asked {
+	known := make([]string, 0, len(s.read))
+	for key := range s.read {
 		known = append(known, key)
 	}
 	slices.Sort(known)
 	for _, key := range s.Keys() {
-		if !s.asked[key] {
+		if !s.read[key] {
 			s.Fault(key, "unknown key", "remove it or use one of "+strings.Join(known, ", "))
 		}
 	}
