--- a/internal/standin/dbd/command.go
+++ b/internal/standin/dbd/command.go
@@ -15,7 +15,7 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// killedExitCode is the exit status of a process that a kill fault ended.
+// killedExitCode is the exit status of the process after a kill fault: 128 + SIGKILL.
 const killedExitCode = 137
 
 // Command is the command line of one stand-in database server.
@@ -86,7 +86,7 @@
 	}
 }
 
-// newLogger writes one logfmt line for each event to the standard error.
+// newLogger returns a logger that writes one logfmt line per event to standard error.
 func newLogger() *zap.Logger {
 	cfg := zap.NewProductionEncoderConfig()
 	cfg.EncodeTime = zapcore.RFC3339NanoTimeEncoder
--- a/internal/standin/dbd/control.go
+++ b/internal/standin/dbd/control.go
@@ -13,8 +13,8 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// call matches a control function: its name and its literal arguments.
-var call = regexp.MustCompile(`(?is)^SELECT\s+(?:\*\s+FROM\s+)?endivemoor_(status|fence|promote|follow|history|log)\(([^()]*)\)\s*;?\s*$`)
+// controlCallPattern matches a call of a control function and captures its name and its arguments.
+var controlCallPattern = regexp.MustCompile(`(?is)^SELECT\s+(?:\*\s+FROM\s+)?endivemoor_(status|fence|promote|follow|history|log)\(([^()]*)\)\s*;?\s*$`)
 
 var (
 	statusColumns = []column{
@@ -35,7 +35,7 @@
 	}
 )
 
-// controlColumns describes each control function's result.
+// controlColumns holds the result columns of each control function.
 var controlColumns = map[string][]column{
 	"status":  statusColumns,
 	"fence":   statusColumns,
@@ -48,10 +48,10 @@
 // callArity is the number of arguments of each control function.
 var callArity = map[string]int{"status": 0, "fence": 1, "promote": 1, "follow": 2, "history": 1, "log": 3}
 
-// controlName returns the control function that a statement calls, and its
-// arguments as written.
+// controlName returns the name of the control function that a statement calls, and its arguments as
+// written. ok is false if the statement calls none.
 func controlName(text string) (name string, args []string, ok bool) {
-	m := call.FindStringSubmatch(bare(text))
+	m := controlCallPattern.FindStringSubmatch(trimComments(text))
 	if m == nil {
 		return "", nil, false
 	}
@@ -61,7 +61,7 @@
 	return strings.ToLower(m[1]), args, true
 }
 
-// columns describes a statement's result without running it.
+// columns returns the result columns of a statement without running it.
 func (x *session) columns(text string) ([]column, error) {
 	if name, _, ok := controlName(text); ok {
 		return controlColumns[name], nil
@@ -80,11 +80,11 @@
 		}
 		return res.cols, nil
 	}
-	return onStore(x.srv.node, func(e *engine) ([]column, error) { return e.columns(x.srv.ctx, text) })
+	return readStorage(x.srv.node, func(e *engine) ([]column, error) { return e.columns(x.srv.ctx, text) })
 }
 
-// controlCall runs a control function. It needs no slot, so that a busy server
-// still answers.
+// controlCall runs the control function that the statement calls; its last result is false if the
+// statement calls none. It takes no statement slot, so that a saturated server still answers.
 func (x *session) controlCall(ctx context.Context, s Statement) (*result, error, bool) {
 	name, written, ok := controlName(s.SQL)
 	if !ok {
@@ -103,10 +103,10 @@
 	return res, nil, true
 }
 
-// callArguments replaces $n by its parameter and strips quotes.
+// callArguments replaces each $n by its parameter and strips the quotes of literals.
 func callArguments(name string, written []string, params []Value) ([]string, error) {
 	if len(written) != callArity[name] {
-		return nil, failure(codeInvalidParameter, "endivemoor_%s takes %d arguments", name, callArity[name])
+		return nil, sqlErrorf(codeInvalidParameter, "endivemoor_%s takes %d arguments", name, callArity[name])
 	}
 	out := make([]string, len(written))
 	for i, w := range written {
@@ -151,7 +151,7 @@
 	for i, a := range args {
 		v, err := strconv.ParseUint(a, 10, 64)
 		if err != nil {
-			return nil, failure(codeInvalidParameter, "%q is not a number", a)
+			return nil, sqlErrorf(codeInvalidParameter, "%q is not a number", a)
 		}
 		n[i] = v
 	}
@@ -174,7 +174,7 @@
 func parseTerm(s string) (timeline.Term, error) {
 	n, err := strconv.ParseUint(s, 10, 63)
 	if err != nil {
-		return 0, failure(codeInvalidParameter, "%q is not a term", s)
+		return 0, sqlErrorf(codeInvalidParameter, "%q is not a term", s)
 	}
 	return timeline.Term(n), nil
 }
--- a/internal/standin/dbd/controlhttp.go
+++ b/internal/standin/dbd/controlhttp.go
@@ -9,16 +9,16 @@
 	"github.com/pkg/errors"
 )
 
-// ControlHandler serves the fault controls and the evidence:
+// ControlHandler returns the HTTP handler that injects faults and reports the server's state:
 //
 //	POST /fault?kind=kill|freeze|thaw|heal
 //	POST /fault?kind=cut&who=*|peers|callers|APPLICATION&direction=requests|answers|both
 //	POST /fault?kind=slow&factor=10
 //	POST /fault?kind=delay&delay=200ms
-//	GET  /fault        what the faults held back
-//	GET  /executions   write transactions that ended here
+//	GET  /fault        how many operations the faults held back
+//	GET  /executions   write transactions that ended on this server
 //	GET  /entries      the replicated log
-//	GET  /status       the server's account of itself
+//	GET  /status       the server's status report
 func (s *Server) ControlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /fault", s.serveFault)
@@ -42,7 +42,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// directions names the values of a cut's direction.
+// directions maps the direction parameter of a cut, which defaults to both.
 var directions = map[string]Direction{"requests": Requests, "answers": Answers, "both": Both, "": Both}
 
 func (s *Server) applyFault(r *http.Request) error {
@@ -75,14 +75,14 @@
 	return nil
 }
 
-func (s *Server) applyCut(who, direction string) error {
+func (s *Server) applyCut(selector, direction string) error {
 	d, ok := directions[direction]
 	if !ok {
 		return errors.Errorf("unknown direction %q", direction)
 	}
-	if who == "" {
-		who = Everybody
+	if selector == "" {
+		selector = Everybody
 	}
-	s.faults.Cut(who, d)
+	s.faults.Cut(selector, d)
 	return nil
 }
--- a/internal/standin/dbd/dbd_test.go
+++ b/internal/standin/dbd/dbd_test.go
@@ -17,7 +17,7 @@
 
 const passTable = `CREATE TABLE passes (id TEXT PRIMARY KEY, seat INTEGER, note TEXT)`
 
-// waitLimit bounds a wait for a condition, so that a failure ends.
+// waitLimit bounds the wait for a condition, so that the test fails if the condition never holds.
 const waitLimit = 20 * time.Second
 
 func startServer(t *testing.T, o Options) *Server {
@@ -118,8 +118,8 @@
 	require.NoError(t, exec("/*endivemoor kind=purchase&key=k7*/"))
 }
 
-// What one caller sets must be gone after DISCARD ALL, after a rollback, and
-// after the block of a SET LOCAL: a pool that shares the connection relies on it.
+// A setting of one client must be undone by DISCARD ALL, by a rollback and, after SET LOCAL, by the
+// end of the block: a pool that shares the connection among clients relies on it.
 func TestSettings(t *testing.T) {
 	c := dial(t, startServer(t, Options{ID: "a", Role: RolePrimary}))
 	show := func(name string) (value string) {
@@ -144,8 +144,8 @@
 	require.Equal(t, codeUndefinedObject, sqlState(err))
 }
 
-// A pipeline up to its Sync is one implicit transaction: when its second
-// statement fails, the first must not stay.
+// A pipeline up to its Sync is one implicit transaction: when its second statement fails, the first
+// must be rolled back.
 func TestPipelineIsOneTransaction(t *testing.T) {
 	s := startServer(t, Options{ID: "a", Role: RolePrimary})
 	c := dial(t, s)
@@ -161,7 +161,7 @@
 	c := dial(t, a)
 	mustExec(t, c, "INSERT INTO passes (id) VALUES ('k1')")
 	require.Equal(t, timeline.Position{Term: 1, LSN: 2}, a.Status().Position())
-	eventually(t, func() bool { return b.Status().Position() == a.Status().Position() }, "b catches up")
+	eventually(t, func() bool { return b.Status().Position() == a.Status().Position() }, "b has replicated the entries of a")
 	require.Equal(t, 1, count(t, dial(t, b)))
 	_, err := dial(t, b).Exec(t.Context(), "INSERT INTO passes (id) VALUES ('k2')")
 	require.Equal(t, "25006", sqlState(err))
--- a/internal/standin/dbd/engine.go
+++ b/internal/standin/dbd/engine.go
@@ -11,37 +11,38 @@
 	"modernc.org/sqlite"
 )
 
-// errEvicted is returned to a write transaction that was rolled back from
-// outside, by a fence or a rewind.
-var errEvicted = errors.New("transaction was ended by the server")
+// errEvicted is returned to a write transaction that the server has rolled back, for example on a
+// fence or a rewind.
+var errEvicted = errors.New("write transaction was rolled back by the server")
 
-// errClosed is returned by a storage that a rewind has replaced.
+// errClosed is returned by an engine that was closed because a rewind has replaced it.
 var errClosed = errors.New("storage was replaced by a rewind")
 
-// databases numbers the in-memory databases of this process.
-var databases atomic.Uint64
+// lastDatabaseID is the number of the newest pair of in-memory databases of this process. It makes
+// the names of the databases unique among the servers of one process.
+var lastDatabaseID atomic.Uint64
 
-// engine is one server's storage.
+// engine is the storage of one server.
 type engine struct {
 	headDB, committedDB *sql.DB
 
-	// headMu guards head and owner. owner is the open write transaction.
+	// headMu guards head and owner. owner is the open write transaction, or nil.
 	headMu sync.Mutex
 	head   *sql.Conn
 	owner  *writeTx
 
-	// mu lets readers of committed exclude the replay of an entry, since the
-	// in-memory SQLite file has one lock for the whole database.
-	mu     sync.RWMutex
-	closed bool
-	apply  *sql.Conn
-	// writeLock holds one token: the right to be owner.
+	// mu keeps reads of committed apart from the replay of an entry, because an in-memory SQLite
+	// file has one lock for the whole database.
+	mu         sync.RWMutex
+	closed     bool
+	replayConn *sql.Conn
+	// writeLock holds a token while a transaction is the owner or about to become it.
 	writeLock chan struct{}
 }
 
-// newEngine returns an empty storage.
+// newEngine returns an engine without tables.
 func newEngine(ctx context.Context) (*engine, error) {
-	n := databases.Add(1)
+	n := lastDatabaseID.Add(1)
 	e := &engine{writeLock: make(chan struct{}, 1)}
 	var err error
 	if e.headDB, e.head, err = openDatabase(ctx, fmt.Sprintf("file:/head-%d?vfs=memdb", n)); err != nil {
@@ -49,7 +50,7 @@
 	}
 	source := fmt.Sprintf("file:/committed-%d?vfs=memdb", n)
 	var writer *sql.DB
-	if writer, e.apply, err = openDatabase(ctx, source); err != nil {
+	if writer, e.replayConn, err = openDatabase(ctx, source); err != nil {
 		return nil, err
 	}
 	writer.SetMaxOpenConns(1)
@@ -66,8 +67,8 @@
 	return db, conn, errors.Wrap(err, "connect to an in-memory database")
 }
 
-// read runs one statement on committed data. A statement that would write
-// fails with SQLITE_READONLY before it has any effect.
+// read runs one statement on committed data. A statement that writes fails with SQLITE_READONLY
+// before it has any effect.
 func (e *engine) read(ctx context.Context, s Statement) (*result, error) {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
@@ -82,7 +83,7 @@
 	return query(ctx, conn, s)
 }
 
-// columns describes the result of a statement without running it.
+// columns returns the result columns of a statement without running it.
 func (e *engine) columns(ctx context.Context, sqlText string) ([]column, error) {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
@@ -97,8 +98,8 @@
 	return describe(conn, sqlText)
 }
 
-// replay applies the statements of an entry to both databases. A transaction
-// that began before its server was fenced is rolled back for it.
+// replay applies the statements of an entry to both databases. It first rolls back the open write
+// transaction, which may have begun before the server was fenced.
 func (e *engine) replay(ctx context.Context, stmts []Statement) error {
 	e.headMu.Lock()
 	defer e.headMu.Unlock()
@@ -112,7 +113,7 @@
 func (e *engine) replayCommitted(ctx context.Context, stmts []Statement) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return replayOn(ctx, e.apply, stmts)
+	return replayOn(ctx, e.replayConn, stmts)
 }
 
 func replayOn(ctx context.Context, conn *sql.Conn, stmts []Statement) error {
@@ -123,7 +124,7 @@
 		return errors.Wrap(err, "begin replay")
 	}
 	for _, s := range stmts {
-		if _, err := conn.ExecContext(ctx, s.SQL, natives(s.Args)...); err != nil {
+		if _, err := conn.ExecContext(ctx, s.SQL, driverArgs(s.Args)...); err != nil {
 			_, _ = conn.ExecContext(ctx, "ROLLBACK")
 			return errors.Wrapf(err, "replay %q", truncate(s.SQL, summaryLimit))
 		}
@@ -132,7 +133,7 @@
 	return errors.Wrap(err, "commit replay")
 }
 
-// close frees the storage once its readers are done.
+// close frees the storage after the running reads have ended.
 func (e *engine) close() {
 	e.headMu.Lock()
 	defer e.headMu.Unlock()
@@ -141,7 +142,7 @@
 	defer e.mu.Unlock()
 	e.closed = true
 	_ = e.head.Close()
-	_ = e.apply.Close()
+	_ = e.replayConn.Close()
 	_ = e.headDB.Close()
 	_ = e.committedDB.Close()
 }
@@ -152,8 +153,8 @@
 	oid  uint32
 }
 
-// columnInfoer is what the SQLite driver's connection offers beyond
-// database/sql.
+// columnInfoer is the method of the SQLite driver's connection that describes a statement;
+// database/sql has none.
 type columnInfoer interface {
 	ColumnInfo(query string) ([]sqlite.ColumnInfo, error)
 }
--- a/internal/standin/dbd/entrylog.go
+++ b/internal/standin/dbd/entrylog.go
@@ -7,22 +7,22 @@
 // Entry is one committed write transaction.
 type Entry struct {
 	Position timeline.Position
-	// CommittedMicros is the primary's wall clock at commit, in microseconds
-	// since 1970. A replica's delay is counted from it.
+	// CommittedMicros is the primary's wall clock at commit, in microseconds since 1970. The
+	// replication delay counts from it.
 	CommittedMicros int64
 	Statements      []Statement
 }
 
-// entryLog holds the entries in order of LSN, which starts at 1. It is guarded
-// by the node's mutex.
+// entryLog holds the entries in order of LSN, which starts at 1. The node's mutex guards it.
 type entryLog struct {
 	entries []Entry
 	history timeline.History
-	grown   chan struct{}
+	// appended is closed and replaced when an entry is appended.
+	appended chan struct{}
 }
 
 func newEntryLog() *entryLog {
-	return &entryLog{grown: make(chan struct{})}
+	return &entryLog{appended: make(chan struct{})}
 }
 
 // end is the position of the newest entry.
@@ -33,12 +33,12 @@
 	return l.entries[len(l.entries)-1].Position
 }
 
-// append adds e and wakes whoever waits for growth.
+// append adds e and wakes the waiting fetches of replicas.
 func (l *entryLog) append(e Entry) {
 	l.entries = append(l.entries, e)
 	l.history = l.history.Append(timeline.Start{Term: e.Position.Term, LSN: e.Position.LSN - 1})
-	close(l.grown)
-	l.grown = make(chan struct{})
+	close(l.appended)
+	l.appended = make(chan struct{})
 }
 
 // after returns at most limit entries beyond lsn.
@@ -46,13 +46,13 @@
 	if lsn >= timeline.LSN(len(l.entries)) {
 		return nil
 	}
-	rest := l.entries[lsn:]
-	return rest[:min(limit, len(rest))]
+	newer := l.entries[lsn:]
+	return newer[:min(limit, len(newer))]
 }
 
-// holds reports whether the log has an entry at exactly p. Within one term
-// there is one writer, so equal (term, LSN) means equal logs up to there.
-func (l *entryLog) holds(p timeline.Position) bool {
+// contains reports whether the log has an entry at exactly p. A term has one writer, so two logs
+// with an entry at the same (term, LSN) are equal up to that entry.
+func (l *entryLog) contains(p timeline.Position) bool {
 	if p.IsZero() {
 		return true
 	}
@@ -68,30 +68,31 @@
 		return nil
 	}
 	dropped := l.entries[lsn:]
-	kept := l.entries[:lsn:lsn]
-	l.entries = kept
+	retained := l.entries[:lsn:lsn]
+	l.entries = retained
 	l.history = nil
-	for _, e := range kept {
+	for _, e := range retained {
 		l.history = l.history.Append(timeline.Start{Term: e.Position.Term, LSN: e.Position.LSN - 1})
 	}
 	return dropped
 }
 
-// commonEnd returns the last LSN up to which a log with the history mine that
-// ends at myEnd equals one with the history theirs that ends at theirEnd. Two
-// logs agree within a term that started at the same place in both, because one
-// primary wrote it; they part where the first term ends that either left early.
-func commonEnd(mine timeline.History, myEnd timeline.LSN, theirs timeline.History, theirEnd timeline.LSN) timeline.LSN {
+// commonEnd returns the last LSN up to which the local log equals a remote log, each given by its
+// history and its last LSN. Two logs agree within a term that starts at the same LSN in both,
+// because one primary wrote it. They diverge at the end of the first term that is shorter in one of
+// them.
+func commonEnd(local timeline.History, localEnd timeline.LSN, remote timeline.History, remoteEnd timeline.LSN) timeline.LSN {
 	common := timeline.LSN(0)
-	for i := range min(len(mine), len(theirs)) {
-		if mine[i] != theirs[i] {
+	for i := range min(len(local), len(remote)) {
+		if local[i] != remote[i] {
 			return common
 		}
-		common = min(termEnd(mine, i, myEnd), termEnd(theirs, i, theirEnd))
+		common = min(termEnd(local, i, localEnd), termEnd(remote, i, remoteEnd))
 	}
 	return common
 }
 
+// termEnd returns the last LSN of the i-th term of a log that ends at end.
 func termEnd(h timeline.History, i int, end timeline.LSN) timeline.LSN {
 	if i+1 < len(h) {
 		return h[i+1].LSN
--- a/internal/standin/dbd/executions.go
+++ b/internal/standin/dbd/executions.go
@@ -8,41 +8,42 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// Ends of a write transaction in the execution log.
+// Values of Execution.End.
 const (
-	// EndCommitted is a transaction that has an entry in the log.
+	// EndCommitted marks a transaction that was committed.
 	EndCommitted = "committed"
-	// EndRolledBack is one that its caller, its connection's end or a fence
-	// took back.
+	// EndRolledBack marks a transaction that was rolled back by its client, by the end of its
+	// connection or by a fence.
 	EndRolledBack = "rolled-back"
 )
 
-// executionLimit bounds the execution log; later ones are counted as dropped.
+// executionLimit bounds the execution log; later transactions are only counted, as dropped.
 const executionLimit = 200_000
 
-// Execution is one write transaction as this server saw it: evidence for who
-// judges whether a request ran, did not run, ran twice or was mixed.
+// Execution records one write transaction of this server. From these records a checker establishes
+// whether a request ran once, twice or not at all, or in one transaction with statements of another
+// caller.
 type Execution struct {
 	Server target.ID `json:"server"`
 	// Transaction numbers the write transactions of this server from 1.
 	Transaction uint64 `json:"transaction"`
-	// Backend is the process number of the connection.
+	// Backend is the process ID that the server gave the connection.
 	Backend     uint32            `json:"backend"`
 	Application string            `json:"application"`
 	End         string            `json:"end"`
 	Position    timeline.Position `json:"position"`
-	// Kind and Key come from the request tag, if a statement carried one.
+	// Kind and Key come from the request tag, if a statement has one.
 	Kind string `json:"kind,omitempty"`
 	Key  string `json:"key,omitempty"`
-	// Statements lists all that ran in the transaction, with parameters, each
-	// cut to 256 bytes.
+	// Statements lists the statements that ran in the transaction, with parameters, each truncated
+	// to 256 bytes.
 	Statements []string `json:"statements"`
 }
 
-// addStatement notes one statement and its tag.
+// addStatement records one statement and its request tag.
 func (e *Execution) addStatement(s Statement) {
 	e.Statements = append(e.Statements, summarize([]Statement{s}))
-	tag, err := url.ParseQuery(tagOf(s.SQL))
+	tag, err := url.ParseQuery(requestTag(s.SQL))
 	if err != nil {
 		return
 	}
@@ -54,20 +55,20 @@
 	}
 }
 
-// executionLog keeps the executions of one server.
+// executionLog holds the executions of one server.
 type executionLog struct {
-	mu      sync.Mutex
-	list    []Execution
-	dropped uint64
-	last    uint64
+	mu              sync.Mutex
+	list            []Execution
+	dropped         uint64
+	lastTransaction uint64
 }
 
-// begin numbers a transaction.
-func (l *executionLog) begin() uint64 {
+// nextTransaction returns the number of a new write transaction.
+func (l *executionLog) nextTransaction() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.last++
-	return l.last
+	l.lastTransaction++
+	return l.lastTransaction
 }
 
 func (l *executionLog) add(e Execution) {
--- a/internal/standin/dbd/extended.go
+++ b/internal/standin/dbd/extended.go
@@ -10,14 +10,13 @@
 	objectPortal    = 'P'
 )
 
-// prepared is a parsed statement. Its text is checked when it is described or
-// first run.
+// prepared is a prepared statement. Its text is checked only when it is described or first run.
 type prepared struct {
 	sql  string
 	oids []uint32
 }
 
-// portal is a statement with its parameters, and its result once it ran.
+// portal is a prepared statement with its parameters and, after it has run, its result.
 type portal struct {
 	stmt    *prepared
 	args    []Value
@@ -30,11 +29,11 @@
 
 func (x *session) parse(m *pgproto3.Parse) error {
 	if m.Name != "" && x.statements[m.Name] != nil {
-		return failure(codeDuplicateStatement, "prepared statement %q already exists", m.Name)
+		return sqlErrorf(codeDuplicateStatement, "prepared statement %q already exists", m.Name)
 	}
 	parts := split(m.Query)
 	if len(parts) > 1 {
-		return failure(codeSyntax, "cannot insert multiple commands into a prepared statement")
+		return sqlErrorf(codeSyntax, "cannot insert multiple commands into a prepared statement")
 	}
 	p := &prepared{}
 	if len(parts) == 1 {
@@ -50,7 +49,7 @@
 func (x *session) statement(name string) (*prepared, error) {
 	p := x.statements[name]
 	if p == nil {
-		return nil, failure(codeInvalidStatement, "prepared statement %q does not exist", name)
+		return nil, sqlErrorf(codeInvalidStatement, "prepared statement %q does not exist", name)
 	}
 	return p, nil
 }
@@ -58,7 +57,7 @@
 func (x *session) portal(name string) (*portal, error) {
 	p := x.portals[name]
 	if p == nil {
-		return nil, failure(codeInvalidCursor, "portal %q does not exist", name)
+		return nil, sqlErrorf(codeInvalidCursor, "portal %q does not exist", name)
 	}
 	return p, nil
 }
@@ -69,14 +68,14 @@
 		return err
 	}
 	if len(m.Parameters) != len(stmt.oids) {
-		return failure(codeProtocolViolation, "bind message supplies %d parameters, but the statement requires %d",
+		return sqlErrorf(codeProtocolViolation, "bind message supplies %d parameters, but the statement requires %d",
 			len(m.Parameters), len(stmt.oids))
 	}
 	p := &portal{stmt: stmt, formats: append([]int16(nil), m.ResultFormatCodes...)}
 	for i, raw := range m.Parameters {
 		v, err := decode(x.types, stmt.oids[i], formatOf(m.ParameterFormatCodes, i), raw)
 		if err != nil {
-			return failure(codeInvalidParameter, "parameter $%d: %s", i+1, err)
+			return sqlErrorf(codeInvalidParameter, "parameter $%d: %s", i+1, err)
 		}
 		p.args = append(p.args, v)
 	}
@@ -118,7 +117,7 @@
 	x.be.Send(rowDescription(cols, formats))
 }
 
-// execute runs a portal, or goes on with one that was suspended.
+// execute runs a portal, or continues one that was suspended.
 func (x *session) execute(m *pgproto3.Execute) error {
 	p, err := x.portal(m.Portal)
 	if err != nil {
--- a/internal/standin/dbd/failure_test.go
+++ b/internal/standin/dbd/failure_test.go
@@ -13,38 +13,36 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// A passenger pays while the fleet moves on: the purchase is written in an open
-// transaction, the old primary is fenced, then COMMIT arrives. It must fail, and
-// the pass must be nowhere.
+// A primary is fenced while a transaction with a write is open, and COMMIT arrives afterwards. It
+// must fail, and no server may have the row.
 func TestOpenTransactionCannotCommitAfterFence(t *testing.T) {
 	a, b, _ := startGroup(t)
-	buyer := dial(t, a)
-	mustExec(t, buyer, "BEGIN")
-	mustExec(t, buyer, "INSERT INTO passes (id) VALUES ('late')")
+	client := dial(t, a)
+	mustExec(t, client, "BEGIN")
+	mustExec(t, client, "INSERT INTO passes (id) VALUES ('late')")
 	mustExec(t, dial(t, a), "SELECT * FROM endivemoor_fence(2)")
-	_, err := buyer.Exec(t.Context(), "COMMIT")
+	_, err := client.Exec(t.Context(), "COMMIT")
 	require.Equal(t, codeReadOnly, sqlState(err))
-	require.Equal(t, byte(stateIdle), buyer.PgConn().TxStatus())
+	require.Equal(t, byte(stateIdle), client.PgConn().TxStatus())
 	require.Equal(t, 0, count(t, dial(t, a)))
 	require.Equal(t, timeline.LSN(1), a.Status().LSN)
 	require.Equal(t, EndRolledBack, a.Executions()[0].End)
 	require.Equal(t, 0, count(t, dial(t, b)))
 }
 
-// The caller's COMMIT is held up by the network and reaches the old primary
-// after it was fenced. It must not be executed late.
+// The network delays a COMMIT until the old primary is fenced. The primary must not execute it.
 func TestDelayedCommitArrivesAfterFence(t *testing.T) {
 	a := startServer(t, Options{ID: "a", Role: RolePrimary})
-	buyer := dial(t, a)
-	mustExec(t, buyer, "BEGIN")
-	mustExec(t, buyer, "INSERT INTO passes (id) VALUES ('late')")
+	client := dial(t, a)
+	mustExec(t, client, "BEGIN")
+	mustExec(t, client, "INSERT INTO passes (id) VALUES ('late')")
 	a.Faults().Cut("test", Requests)
 	answer := make(chan error, 1)
 	go func() {
-		_, err := buyer.Exec(context.Background(), "COMMIT")
+		_, err := client.Exec(context.Background(), "COMMIT")
 		answer <- err
 	}()
-	eventually(t, func() bool { return a.Faults().Struck().Requests > 0 }, "COMMIT is held up")
+	eventually(t, func() bool { return a.Faults().Struck().Requests > 0 }, "the cut holds back COMMIT")
 	_, err := a.node.fence(2)
 	require.NoError(t, err)
 	a.Faults().Heal()
@@ -52,9 +50,8 @@
 	require.Equal(t, timeline.LSN(1), a.Status().LSN)
 }
 
-// Writers keep on writing while the primary is fenced. Once the fence is
-// answered its log may not grow, and it holds just the writes that were
-// acknowledged: none more, none less.
+// Clients write while the primary is fenced. After the answer to the fence its log must not grow,
+// and it must contain exactly the acknowledged writes.
 func TestNoCommitIsAcknowledgedBeyondFence(t *testing.T) {
 	const writers = 8
 	a := startServer(t, Options{ID: "a", Role: RolePrimary})
@@ -72,7 +69,7 @@
 			}
 		})
 	}
-	eventually(t, func() bool { return a.Status().LSN > 50 }, "writers are at work")
+	eventually(t, func() bool { return a.Status().LSN > 50 }, "the writers have committed 50 writes")
 	fenced, err := a.node.fence(2)
 	require.NoError(t, err)
 	wg.Wait()
@@ -85,15 +82,16 @@
 	require.Equal(t, total, count(t, dial(t, a)))
 }
 
-// A replica is fenced for a promotion while the old primary still writes. Its
-// log must stay where the promoter saw it, or the promoter's choice is wrong.
+// A replica is fenced for a promotion while the old primary still writes. Its log must not grow
+// beyond the position that it reported to the promoter, or the promoter may choose the wrong
+// candidate.
 func TestFencedReplicaRefusesOldPrimary(t *testing.T) {
 	a, b, c := startGroup(t)
 	f := currentFollower(t, b)
 	_, err := b.node.fence(2)
 	require.NoError(t, err)
 	mustExec(t, dial(t, a), "INSERT INTO passes (id) VALUES ('old')")
-	eventually(t, func() bool { return c.Status().LSN == 2 }, "the other replica goes on")
+	eventually(t, func() bool { return c.Status().LSN == 2 }, "the other replica has replicated the write")
 	entry := a.Entries()[1]
 	require.ErrorIs(t, b.node.applyEntry(t.Context(), f, entry), errStopped)
 	require.Equal(t, timeline.LSN(1), b.Status().LSN)
@@ -112,13 +110,14 @@
 	return f
 }
 
-// The old primary wrote alone, the group moved on, and it rejoins. Its own rows
-// are gone, the new primary's are there, and it takes the reads of a replica.
+// A primary that was cut off from its replicas commits further writes, is replaced and then follows
+// the new primary. It must discard those writes, replicate the rows of the new primary and serve
+// reads as a replica.
 func TestSupersededPrimaryRewinds(t *testing.T) {
 	a, b, c := startGroup(t)
 	old := dial(t, a)
 	mustExec(t, old, "INSERT INTO passes (id, note) VALUES ('kept', 'a')")
-	eventually(t, func() bool { return b.Status().LSN == 2 && c.Status().LSN == 2 }, "replicas caught up")
+	eventually(t, func() bool { return b.Status().LSN == 2 && c.Status().LSN == 2 }, "both replicas have replicated the write")
 	a.Faults().Cut(Peers, Both)
 	mustExec(t, old, "INSERT INTO passes (id, note) VALUES ('alone', 'a')")
 	mustExec(t, old, "UPDATE passes SET note = 'alone' WHERE id = 'kept'")
@@ -133,7 +132,7 @@
 	require.NoError(t, err)
 	require.Len(t, dropped, 2)
 	mustExec(t, dial(t, c), "INSERT INTO passes (id) VALUES ('new')")
-	eventually(t, func() bool { return a.Status().Position() == c.Status().Position() }, "old primary caught up")
+	eventually(t, func() bool { return a.Status().Position() == c.Status().Position() }, "the old primary has replicated the entries of the new one")
 	rows, err := old.Query(t.Context(), "SELECT id, coalesce(note, '') FROM passes ORDER BY id")
 	require.NoError(t, err)
 	var got []string
@@ -147,8 +146,8 @@
 	require.Equal(t, codeReadOnly, sqlState(err))
 }
 
-// Readers are at work while the old primary is rewound. None of them may notice
-// more than rows that come and go.
+// Clients read from an old primary while it is rewound. The set of rows may change, but no read may
+// fail.
 func TestReadersDoNotNoticeRewind(t *testing.T) {
 	a, b, c := startGroup(t)
 	a.Faults().Cut(Peers, Both)
@@ -180,8 +179,8 @@
 	require.Equal(t, make([]error, len(errs)), errs)
 }
 
-// Two promoters with the same term cannot both win: a server that follows the
-// term's primary, or that has promised another term, refuses.
+// Two promoters cannot both promote a server in the same term: a server that follows the primary of
+// the term, or that has promised another term, refuses.
 func TestOneTermHasOnePrimary(t *testing.T) {
 	_, b, c := startGroup(t)
 	for _, s := range []*Server{b, c} {
@@ -198,8 +197,8 @@
 	require.Equal(t, codeNotInState, asSQLError(err).code)
 }
 
-// A server came back without its storage. It may have promised a term and
-// forgotten it, so it must not vote before it follows again.
+// A server that restarts without its storage may have lost the promise of a term. It must refuse
+// fence and promote until it has followed a primary again.
 func TestBlankServerDoesNotVote(t *testing.T) {
 	a := startServer(t, Options{ID: "a", Role: RolePrimary})
 	b := startServer(t, Options{ID: "b", Role: RoleBlank})
@@ -209,19 +208,19 @@
 	require.Equal(t, codeNotInState, asSQLError(err).code)
 	_, err = b.node.follow(t.Context(), a.Addr(), 1)
 	require.NoError(t, err)
-	eventually(t, func() bool { return b.Status().Position() == a.Status().Position() }, "it catches up")
+	eventually(t, func() bool { return b.Status().Position() == a.Status().Position() }, "b has replicated the entries of a")
 	_, err = b.node.fence(5)
 	require.NoError(t, err)
 }
 
-// The same purchase is sent through two proxies at once, with one request key.
-// One runs; the other learns by 23505 that it did not, and charges nothing.
+// Several connections send the same request with one request key at once. One commits; each other
+// one gets 23505 and has no effect.
 func TestOneRequestKeyRunsOnce(t *testing.T) {
-	const racers = 6
+	const clients = 6
 	a := startServer(t, Options{ID: "a", Role: RolePrimary})
-	states := make([]string, racers)
+	states := make([]string, clients)
 	var wg sync.WaitGroup
-	for i := range racers {
+	for i := range clients {
 		conn := dial(t, a).PgConn()
 		wg.Go(func() {
 			states[i] = sqlState(conn.Exec(context.Background(), `
@@ -242,12 +241,12 @@
 		}
 	}
 	require.Equal(t, 1, ran)
-	require.Equal(t, racers-1, refused)
+	require.Equal(t, clients-1, refused)
 	require.Equal(t, 1, count(t, dial(t, a)))
 }
 
-// A statement fails after a savepoint: the caller returns to it and commits the
-// rest, on the replicas too. Without a savepoint the whole block is undone.
+// After a statement has failed, ROLLBACK TO a savepoint and COMMIT keep the statements before the
+// savepoint, also on the replicas. Without a savepoint the failure rolls back the whole block.
 func TestSavepointAfterFailure(t *testing.T) {
 	a, b, _ := startGroup(t)
 	c := dial(t, a)
@@ -260,7 +259,7 @@
 	mustExec(t, c, "ROLLBACK TO s")
 	mustExec(t, c, "COMMIT")
 	require.Equal(t, 1, count(t, c))
-	eventually(t, func() bool { return b.Status().Position() == a.Status().Position() }, "b catches up")
+	eventually(t, func() bool { return b.Status().Position() == a.Status().Position() }, "b has replicated the entries of a")
 	require.Equal(t, 1, count(t, dial(t, b)))
 	mustExec(t, c, "BEGIN")
 	_, err = c.Exec(t.Context(), "INSERT INTO passes (id) VALUES ('x')")
@@ -269,42 +268,42 @@
 	require.Equal(t, codeNoSavepoint, sqlState(err))
 }
 
-// The answer to a committed purchase is lost on its way. The execution log must
-// say that it ran, with its key, though its caller does not know.
+// The answer to a committed write is lost. The execution log must contain the committed transaction
+// with its request key, although the client got no answer.
 func TestLostAnswerLeavesEvidence(t *testing.T) {
 	a := startServer(t, Options{ID: "a", Role: RolePrimary})
-	buyer := dial(t, a)
+	client := dial(t, a)
 	a.Faults().Cut("test", Answers)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() {
-		_, err := buyer.Exec(ctx, "/*endivemoor kind=purchase&key=k9*/ INSERT INTO passes (id) VALUES ('p')")
+		_, err := client.Exec(ctx, "/*endivemoor kind=purchase&key=k9*/ INSERT INTO passes (id) VALUES ('p')")
 		done <- err
 	}()
-	eventually(t, func() bool { return a.Status().LSN == 2 }, "it ran")
+	eventually(t, func() bool { return a.Status().LSN == 2 }, "the write is in the log")
 	cancel()
 	require.Error(t, <-done)
 	var found []Execution
-	eventually(t, func() bool { found = a.Executions(); return len(found) == 1 }, "it is in the execution log")
+	eventually(t, func() bool { found = a.Executions(); return len(found) == 1 }, "the write is in the execution log")
 	require.Equal(t, EndCommitted, found[0].End)
 	require.Equal(t, "k9", found[0].Key)
 	require.Equal(t, "purchase", found[0].Kind)
 	require.Equal(t, timeline.Position{Term: 1, LSN: 2}, found[0].Position)
 }
 
-// A proxy dies in the middle of a transaction: its connection ends, nothing of
-// the transaction stays, and the write lock goes to the next writer.
+// A connection is closed in the middle of a transaction, as when a proxy crashes. The transaction
+// must be rolled back and the write lock released to the next writer.
 func TestDeadConnectionRollsBack(t *testing.T) {
 	a := startServer(t, Options{ID: "a", Role: RolePrimary})
-	dying := dial(t, a)
-	mustExec(t, dying, "BEGIN")
-	mustExec(t, dying, "INSERT INTO passes (id) VALUES ('half')")
-	require.NoError(t, dying.PgConn().Conn().Close())
+	conn := dial(t, a)
+	mustExec(t, conn, "BEGIN")
+	mustExec(t, conn, "INSERT INTO passes (id) VALUES ('half')")
+	require.NoError(t, conn.PgConn().Conn().Close())
 	mustExec(t, dial(t, a), "INSERT INTO passes (id) VALUES ('whole')")
 	require.Equal(t, 1, count(t, dial(t, a)))
 }
 
-// A killed server answers nobody, and an open transaction is lost with it.
+// A killed server answers no client, and its open transactions are lost.
 func TestKill(t *testing.T) {
 	a := startServer(t, Options{ID: "a", Role: RolePrimary})
 	c := dial(t, a)
@@ -318,15 +317,15 @@
 	require.Equal(t, timeline.LSN(1), a.Status().LSN)
 }
 
-// Logs that share a past and then part must be cut where they part: never
-// shorter, which loses kept writes, and never longer, which mixes branches.
+// Two logs that share a prefix must be cut at its end: a shorter cut loses writes that both logs
+// have, and a longer one mixes the two branches.
 func TestCommonEndIsWhereLogsPart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shared := drawLog(t, nil, "shared", 1)
 		last := shared.end().Term
-		mine := drawLog(t, shared.entries, "mine", last+1)
-		theirs := drawLog(t, shared.entries, "theirs", last+1000)
-		got := commonEnd(mine.history, mine.end().LSN, theirs.history, theirs.end().LSN)
+		local := drawLog(t, shared.entries, "local", last+1)
+		remote := drawLog(t, shared.entries, "remote", last+1000)
+		got := commonEnd(local.history, local.end().LSN, remote.history, remote.end().LSN)
 		require.Equal(t, shared.end().LSN, got)
 	})
 }
@@ -346,12 +345,11 @@
 	return l
 }
 
-// The proxy that ordered an old primary to follow gives up while the server
-// rebuilds its storage. The log was cut and the storage was not, so the server
-// never followed again: each new order found a log that fits, and replication
-// failed for ever on a key that the storage still held (seen under load, after
-// 3,000 entries).
-func TestRewindOutlivesItsOrder(t *testing.T) {
+// Failure guarded against: the requester of a follow command gives up while the old primary
+// rebuilds its storage, and the log is truncated although the storage is not. Each later follow
+// command finds a log that matches the new primary's, and replication fails permanently on a key
+// that the storage still has.
+func TestRewindCompletesAfterRequesterGivesUp(t *testing.T) {
 	a, b, c := startGroup(t)
 	a.Faults().Cut(Peers, Both)
 	mustExec(t, dial(t, a), "INSERT INTO passes (id) VALUES ('k1')")
@@ -362,26 +360,26 @@
 	_, err := c.node.promote(2)
 	require.NoError(t, err)
 	mustExec(t, dial(t, c), "INSERT INTO passes (id) VALUES ('k1')")
-	theirs, err := c.node.history(2)
+	primaryLog, err := c.node.history(2)
 	require.NoError(t, err)
-	require.NoError(t, a.node.yieldTo(2))
+	require.NoError(t, a.node.acceptTerm(2))
 
-	gaveUp, cancel := context.WithCancel(t.Context())
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	a.node.mu.Lock()
-	_ = a.node.rewindLocked(gaveUp, theirs, 2)
+	_ = a.node.rewindLocked(canceled, primaryLog, 2)
 	a.node.mu.Unlock()
 
 	a.Faults().Heal()
 	_, err = a.node.follow(t.Context(), c.Addr(), 2)
 	require.NoError(t, err)
-	eventually(t, func() bool { return a.Status().Position() == c.Status().Position() }, "the old primary follows")
+	eventually(t, func() bool { return a.Status().Position() == c.Status().Position() }, "the old primary has replicated the entries of the new one")
 }
 
-// A proxy gives up its BEGIN at a frozen primary, which is thawed and told to
-// follow. The storage stayed read-only, so the server never followed again (seen
-// in CI: "attempt to write a readonly database"). Wherever the BEGIN is given
-// up, the next transaction must get on.
+// Failure guarded against: a BEGIN is canceled, for example on a frozen primary that is then thawed
+// and commanded to follow. The storage stays read-only, and replication fails permanently with
+// "attempt to write a readonly database". At whichever point a BEGIN is canceled, the next
+// transaction must succeed.
 func TestAbandonedBeginLeavesTheStorageWritable(t *testing.T) {
 	e, err := newEngine(t.Context())
 	require.NoError(t, err)
--- a/internal/standin/dbd/faults.go
+++ b/internal/standin/dbd/faults.go
@@ -9,48 +9,48 @@
 	"time"
 )
 
-// Direction says which way of a connection a cut affects.
+// Direction is the direction of a connection's bytes that a cut affects.
 type Direction uint8
 
 const (
-	// Requests holds back what comes in; it arrives after the cut has healed.
+	// Requests holds back received bytes; they arrive after the cut has healed.
 	Requests Direction = 1 << iota
-	// Answers holds back what goes out; requests are still executed.
+	// Answers holds back sent bytes; requests are still executed.
 	Answers
-	// Both holds back either way.
+	// Both holds back both directions.
 	Both = Requests | Answers
 )
 
-// Selectors of whom a cut affects, besides an application_name prefix.
+// Selectors of the connections that a cut affects. Any other selector is a prefix of an
+// application_name.
 const (
-	// Everybody is each connection, also those that have not said who they are.
+	// AllConnections selects each connection, also before its startup message.
 	Everybody = "*"
-	// Peers is each replica's connection and this server's own replication.
+	// Peers selects the connections of replicas and this server's own replication.
 	Peers = "peers"
-	// Callers is each connection that is not a peer's, once it has said so.
+	// Callers selects each connection that is not a peer's, from its startup message on.
 	Callers = "callers"
 )
 
-// unknownApplication stands for a connection before its startup message.
+// unknownApplication is the application name of a connection before its startup message.
 const unknownApplication = "(unknown)"
 
-// Struck counts what faults held back, so that a test can tell a fault that was
-// survived from one that never hit.
+// FaultHits counts the operations that faults held back. A test uses it to make sure that a fault
+// took effect.
 type Struck struct {
-	// Requests and Answers count reads and writes of connections.
+	// Requests and Answers count reads from and writes to connections.
 	Requests int `json:"requests"`
 	Answers  int `json:"answers"`
-	// Peers counts this server's own replication.
+	// Peers counts operations of this server's own replication.
 	Peers int `json:"peers"`
-	// Commits counts commits and statements that a freeze stopped.
+	// Commits counts commits, statements and replicated entries that a freeze held back.
 	Commits int `json:"commits"`
 }
 
-// Faults holds the faults that are in force on one server. With none the server
-// is well. All methods may be called at any time.
+// Faults holds the active faults of one server. All methods are safe for concurrent use.
 type Faults struct {
 	mu      sync.Mutex
-	struck  Struck
+	hits    Struck
 	frozen  bool
 	cuts    map[string]Direction
 	slow    float64
@@ -62,34 +62,34 @@
 	return &Faults{cuts: make(map[string]Direction), slow: 1, delay: delay, changed: make(chan struct{})}
 }
 
-// Freeze stops the server as SIGSTOP does: the kernel accepts connections and
-// takes bytes, and nothing is answered, replicated or committed.
+// Freeze stops the server as SIGSTOP does: the kernel still accepts connections and receives bytes,
+// but the server answers, replicates and commits nothing.
 func (f *Faults) Freeze() { f.change(func() { f.frozen = true }) }
 
-// Thaw ends Freeze. Requests that came meanwhile are executed, late.
+// Thaw ends Freeze. Requests received in between are then executed.
 func (f *Faults) Thaw() { f.change(func() { f.frozen = false }) }
 
-// Cut holds back bytes of one direction between the server and whom it names.
-func (f *Faults) Cut(who string, d Direction) {
-	f.change(func() { f.cuts[who] |= d })
+// Cut holds back the bytes in direction d of the selected connections.
+func (f *Faults) Cut(selector string, d Direction) {
+	f.change(func() { f.cuts[selector] |= d })
 }
 
-// Heal ends all cuts. Bytes held back then arrive, as TCP delivers them.
+// Heal ends all cuts. The bytes held back then arrive, as TCP would deliver them.
 func (f *Faults) Heal() {
 	f.change(func() { f.cuts = make(map[string]Direction) })
 }
 
-// Slow multiplies the time of each statement; 1 is the normal speed.
+// Slow multiplies the time of each statement by factor; 1 is the normal speed.
 func (f *Faults) Slow(factor float64) { f.change(func() { f.slow = max(factor, 1) }) }
 
-// SetReplicationDelay sets how long after its commit an entry is applied here.
+// SetReplicationDelay sets the time from the commit of an entry until this server applies it.
 func (f *Faults) SetReplicationDelay(d time.Duration) { f.change(func() { f.delay = d }) }
 
-// Struck returns what was held back since the start.
+// Hits returns how many operations were held back since the start.
 func (f *Faults) Struck() Struck {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.struck
+	return f.hits
 }
 
 func (f *Faults) change(apply func()) {
@@ -100,7 +100,7 @@
 	f.changed = make(chan struct{})
 }
 
-func (f *Faults) slowness() float64 {
+func (f *Faults) slowFactor() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.slow
@@ -112,23 +112,23 @@
 	return f.delay
 }
 
-// blocks reports whether bytes in direction d between the server and the
-// application are held back now.
+// blocks reports whether bytes in direction d between the server and the application are held back.
+// A frozen server holds back all of them.
 func (f *Faults) blocks(application string, d Direction) bool {
 	if f.frozen {
 		return true
 	}
-	for who, cut := range f.cuts {
-		if cut&d != 0 && selects(who, application) {
+	for selector, cut := range f.cuts {
+		if cut&d != 0 && selects(selector, application) {
 			return true
 		}
 	}
 	return false
 }
 
-func selects(who, application string) bool {
+func selects(selector, application string) bool {
 	peer := strings.HasPrefix(application, PeerApplication)
-	switch who {
+	switch selector {
 	case Everybody:
 		return true
 	case Peers:
@@ -136,12 +136,12 @@
 	case Callers:
 		return !peer && application != unknownApplication
 	default:
-		return strings.HasPrefix(application, who)
+		return strings.HasPrefix(application, selector)
 	}
 }
 
-// check reports whether bytes are held back, counts the first time of one
-// wait, and returns what is closed at the next change.
+// check reports whether the operation is held back, and returns a channel that is closed when the
+// faults change. It counts a hit if first is set, so that each wait counts once.
 func (f *Faults) check(application string, d Direction, first bool) (blocked bool, changed <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -155,17 +155,17 @@
 func (f *Faults) count(d Direction) {
 	switch d {
 	case Requests:
-		f.struck.Requests++
+		f.hits.Requests++
 	case Answers:
-		f.struck.Answers++
+		f.hits.Answers++
 	case Both:
-		f.struck.Peers++
+		f.hits.Peers++
 	default:
-		f.struck.Commits++
+		f.hits.Commits++
 	}
 }
 
-// wait returns when bytes may pass, or when done is closed.
+// wait blocks while the operation is held back, or until done is closed.
 func (f *Faults) wait(done <-chan struct{}, application string, d Direction) {
 	for first := true; ; first = false {
 		blocked, changed := f.check(application, d, first)
@@ -180,19 +180,18 @@
 	}
 }
 
-// pause waits while the server is frozen.
-func (f *Faults) pause() { f.wait(nil, unknownApplication, 0) }
+func (f *Faults) waitWhileFrozen() { f.wait(nil, unknownApplication, 0) }
 
-// waitPeers waits while the server is frozen or cut off from its peers.
+// waitPeers blocks while the server is frozen or cut off from its peers, or until ctx is done.
 func (f *Faults) waitPeers(ctx context.Context) {
 	f.wait(ctx.Done(), PeerApplication, Both)
 }
 
-// faultConn is a connection under the server's faults.
+// faultConn is a connection whose reads and writes the server's faults hold back.
 type faultConn struct {
 	net.Conn
 	faults *Faults
-	// application is learned from the startup message.
+	// application is the application name, unknownApplication before the startup message.
 	application atomic.Pointer[string]
 	done        chan struct{}
 	once        sync.Once
@@ -206,7 +205,7 @@
 
 func (c *faultConn) setApplication(name string) { c.application.Store(&name) }
 
-// Read returns bytes once they may arrive.
+// Read reads bytes and returns them when no fault holds them back.
 func (c *faultConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.faults.wait(c.done, *c.application.Load(), Requests)
@@ -218,13 +217,13 @@
 	}
 }
 
-// Write sends bytes once they may leave.
+// Write sends bytes when no fault holds them back.
 func (c *faultConn) Write(p []byte) (int, error) {
 	c.faults.wait(c.done, *c.application.Load(), Answers)
 	return c.Conn.Write(p)
 }
 
-// Close ends the connection and whoever waits on it.
+// Close closes the connection and ends the waits of its reads and writes.
 func (c *faultConn) Close() error {
 	c.once.Do(func() { close(c.done) })
 	return c.Conn.Close()
--- a/internal/standin/dbd/follow.go
+++ b/internal/standin/dbd/follow.go
@@ -13,18 +13,17 @@
 )
 
 const (
-	// retryPause is how long a replica waits before it asks again.
-	retryPause = 50 * time.Millisecond
-	// delayStep bounds the sleep before an entry, so that a changed delay is
-	// seen.
-	delayStep = 5 * time.Millisecond
+	// retryDelay is the time from a failed replication attempt to the next.
+	retryDelay = 50 * time.Millisecond
+	// delayPollInterval bounds each sleep before an entry is due, so that a change of the
+	// replication delay takes effect.
+	delayPollInterval = 5 * time.Millisecond
 )
 
-// errStopped says that a replicated entry came from a primary that this server
-// no longer follows.
-var errStopped = errors.New("replication was stopped")
+// errStopped reports a replicated entry of a primary that this server no longer follows.
+var errStopped = errors.New("replication from this primary was stopped")
 
-// follower is one replication from one primary.
+// follower is the replication from one primary in one term.
 type follower struct {
 	primary string
 	term    timeline.Term
@@ -38,35 +37,36 @@
 	}
 }
 
-// follow makes the server replicate from primary in term. It returns what was
-// discarded, also when the same order is given again.
+// follow makes the server replicate from the primary of term. It returns the discarded entries,
+// also when the same command is repeated.
 func (n *node) follow(ctx context.Context, primary string, term timeline.Term) ([]target.Entry, error) {
-	if err := n.yieldTo(term); err != nil {
+	if err := n.acceptTerm(term); err != nil {
 		return nil, err
 	}
 	n.faults.waitPeers(ctx)
-	theirs, err := fetchHistory(ctx, n.peerName(), primary, term)
+	primaryLog, err := fetchHistory(ctx, n.peerName(), primary, term)
 	if err != nil {
-		return nil, failure(codeConnectionFailure, "cannot learn the primary's history: %s", err)
+		return nil, sqlErrorf(codeConnectionFailure, "cannot learn the primary's history: %s", err)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.promised != term || n.role == target.RolePrimary {
-		return nil, fenced(n.promised)
+		return nil, newFencedError(n.promised)
 	}
-	if err := n.rewindLocked(ctx, theirs, term); err != nil {
+	if err := n.rewindLocked(ctx, primaryLog, term); err != nil {
 		return nil, err
 	}
 	n.startFollowerLocked(primary, term)
 	return n.discarded[term], nil
 }
 
-// yieldTo promises term and gives up a lower one's leadership.
-func (n *node) yieldTo(term timeline.Term) error {
+// acceptTerm promises term, makes a primary of a lower term a replica and rolls back its open write
+// transaction.
+func (n *node) acceptTerm(term timeline.Term) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if term < n.promised || n.leadsLocked(term) {
-		return fenced(n.promised)
+	if term < n.promised || n.acceptsWritesLocked(term) {
+		return newFencedError(n.promised)
 	}
 	n.promised = term
 	n.role = target.RoleReplica
@@ -74,16 +74,16 @@
 	return nil
 }
 
-// rewindLocked drops what the primary's log does not have, and rebuilds the
-// storage from the rest.
+// rewindLocked discards the entries that the primary's log does not have, and rebuilds the storage
+// from the others.
 //
-// Failure stopped here: whoever ordered the rewind gives up while the storage is
-// rebuilt, the log is cut and the storage is not. Every later order finds a log
-// that fits, and the replica fails for ever on the first entry that repeats a
-// row it should have dropped. The rebuild therefore outlives its order, and the
-// log is cut only when the storage stands.
-func (n *node) rewindLocked(ctx context.Context, theirs primaryHistory, term timeline.Term) error {
-	common := commonEnd(n.entries.history, n.entries.end().LSN, theirs.starts, theirs.end)
+// Failure guarded against: the requester of the rewind gives up while the storage is rebuilt, and
+// the log is truncated although the storage is not. Every later follow command then finds a log
+// that matches the primary's, and replication fails permanently on the first entry that inserts a
+// row again that the rewind should have removed. The rebuild therefore ignores the cancellation of
+// the command, and the log is truncated only after the storage is rebuilt.
+func (n *node) rewindLocked(ctx context.Context, primaryLog primaryHistory, term timeline.Term) error {
+	common := commonEnd(n.entries.history, n.entries.end().LSN, primaryLog.starts, primaryLog.end)
 	if common >= n.entries.end().LSN {
 		return nil
 	}
@@ -98,9 +98,9 @@
 	return nil
 }
 
-// rebuildLocked replaces the storage by one made of the entries up to end.
+// rebuildLocked replaces the storage by a new one with the entries up to end.
 func (n *node) rebuildLocked(ctx context.Context, end timeline.LSN) error {
-	fresh, err := newEngine(ctx)
+	rebuilt, err := newEngine(ctx)
 	if err != nil {
 		return err
 	}
@@ -108,12 +108,12 @@
 		if e.Position.LSN > end {
 			break
 		}
-		if err := fresh.replay(ctx, e.Statements); err != nil {
+		if err := rebuilt.replay(ctx, e.Statements); err != nil {
 			return err
 		}
 	}
 	old := n.engine
-	n.engine = fresh
+	n.engine = rebuilt
 	old.close()
 	return nil
 }
@@ -129,25 +129,26 @@
 	go n.replicate(ctx, f)
 }
 
-// replicate pulls entries until the follower is stopped.
+// replicate fetches and applies entries until the follower is stopped. It logs a failure only when
+// its text differs from that of the previous one.
 func (n *node) replicate(ctx context.Context, f *follower) {
-	last := ""
+	lastFailure := ""
 	for ctx.Err() == nil {
 		err := n.pull(ctx, f)
 		if errors.Is(err, errStopped) {
 			return
 		}
 		if err != nil && ctx.Err() == nil {
-			if err.Error() != last {
-				last = err.Error()
+			if err.Error() != lastFailure {
+				lastFailure = err.Error()
 				n.log.Warn("replication-interrupted", zap.String("primary", f.primary), zap.Error(err))
 			}
-			wait.For(ctx, retryPause)
+			wait.For(ctx, retryDelay)
 		}
 	}
 }
 
-// pull follows the primary over one connection.
+// pull replicates from the primary over one connection until an error.
 func (n *node) pull(ctx context.Context, f *follower) error {
 	n.faults.waitPeers(ctx)
 	conn, err := dialPeer(ctx, n.peerName(), f.primary)
@@ -170,7 +171,7 @@
 	}
 }
 
-// receive waits for an entry's delay to pass, then applies it.
+// receive waits until the replication delay of an entry has passed, then applies it.
 func (n *node) receive(ctx context.Context, f *follower, e Entry) error {
 	for {
 		due := time.UnixMicro(e.CommittedMicros).Add(n.faults.replicationDelay())
@@ -178,21 +179,21 @@
 		if left <= 0 {
 			break
 		}
-		wait.For(ctx, min(left, delayStep))
+		wait.For(ctx, min(left, delayPollInterval))
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
-	n.faults.pause()
+	n.faults.waitWhileFrozen()
 	return n.applyEntry(ctx, f, e)
 }
 
 // applyEntry appends a replicated entry.
 //
-// Failure stopped here: a superseded primary extends a replica that was fenced
-// for a promotion, so that the promoter's choice of the longest log no longer
-// holds. It would show as a kept write that the new primary lacks. The promise
-// is checked under the same mutex that fence takes.
+// Failure guarded against: a superseded primary extends the log of a replica after the replica was
+// fenced for a promotion. The log that the promoter chose as the longest then no longer is, and the
+// new primary lacks a write that the replica has. The promise is therefore checked under the mutex
+// that fence takes.
 func (n *node) applyEntry(ctx context.Context, f *follower, e Entry) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -200,7 +201,7 @@
 		return errStopped
 	}
 	if e.Position.LSN != n.entries.end().LSN+1 || e.Position.Term < n.entries.end().Term {
-		return errors.Errorf("entry %v does not follow %v", e.Position, n.entries.end())
+		return errors.Errorf("replicated entry %v does not follow the end of the local log, %v", e.Position, n.entries.end())
 	}
 	if err := n.engine.replay(ctx, e.Statements); err != nil {
 		return err
--- a/internal/standin/dbd/limits_test.go
+++ b/internal/standin/dbd/limits_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// One connection too many is told so; a control connection still gets in, since
-// a full server must be fenced too.
+// A connection above the limit is refused with 53300. A control connection is still accepted, since
+// a server at its limit must be fenced too.
 func TestConnectionLimit(t *testing.T) {
 	a := startServer(t, Options{ID: "a", Role: RolePrimary, Connections: 2})
 	first := dial(t, a)
@@ -27,11 +27,11 @@
 	eventually(t, func() bool {
 		c, err := pgx.Connect(t.Context(), url+"third")
 		return err == nil && c.Close(t.Context()) == nil
-	}, "the place is free again")
+	}, "the closed connection no longer counts towards the limit")
 }
 
-// A caller waits for the write lock and gives up by a cancel request. The lock's
-// owner must not be hurt by it.
+// A client that waits for the write lock sends a cancel request. It must not affect the transaction
+// of the lock's owner.
 func TestCancelWhileWaitingForWriteLock(t *testing.T) {
 	a := startServer(t, Options{ID: "a", Role: RolePrimary})
 	owner, waiter := dial(t, a), dial(t, a)
@@ -50,15 +50,15 @@
 		default:
 			return false
 		}
-	}, "the wait ends")
+	}, "the canceled statement returns")
 	require.Equal(t, codeQueryCanceled, sqlState(err))
 	mustExec(t, owner, "INSERT INTO passes (id) VALUES ('o')")
 	mustExec(t, owner, "COMMIT")
 	require.Equal(t, 1, count(t, waiter))
 }
 
-// A write transaction stays open while others read: they see the state before
-// it and do not wait.
+// While a write transaction is open, reads of other connections see the state before it and do not
+// wait.
 func TestReadsDoNotWaitForOpenTransaction(t *testing.T) {
 	a := startServer(t, Options{ID: "a", Role: RolePrimary, Slots: 1})
 	owner := dial(t, a)
@@ -70,7 +70,7 @@
 	require.Equal(t, 1, count(t, dial(t, a)))
 }
 
-// A caller that gives no application_name is cut off like any other.
+// A cut of Callers also affects a connection without an application_name.
 func TestCutHoldsUnnamedCallers(t *testing.T) {
 	a := startServer(t, Options{ID: "a", Role: RolePrimary})
 	c, err := pgx.Connect(t.Context(), "postgres://app@"+a.Addr()+"/ledger?sslmode=disable")
@@ -122,8 +122,8 @@
 	require.Equal(t, []string{"INSERT INTO passes (id) VALUES ($1) | p"}, list[0].Statements)
 }
 
-// Reads of one row over one connection each, without a proxy: the base line of
-// every measurement through one.
+// Reads one row per operation, over one connection for each goroutine and without a proxy: the
+// baseline for measurements through a proxy.
 func BenchmarkDirectRead(b *testing.B) {
 	s, err := Start(Options{ID: "a", Role: RolePrimary, Seed: []string{passTable, "INSERT INTO passes (id, seat) VALUES ('p', 1)"}})
 	require.NoError(b, err)
@@ -142,7 +142,7 @@
 	})
 }
 
-// Writes of one row each over one connection.
+// Inserts one row per operation over one connection, without a proxy.
 func BenchmarkDirectWrite(b *testing.B) {
 	s, err := Start(Options{ID: "a", Role: RolePrimary, Seed: []string{passTable}})
 	require.NoError(b, err)
--- a/internal/standin/dbd/node.go
+++ b/internal/standin/dbd/node.go
@@ -11,11 +11,11 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// firstTerm is the term of the seed and of the first primary.
+// firstTerm is the term of the seed entry and of the first primary.
 const firstTerm timeline.Term = 1
 
-// node is one server's replicated state. Whatever changes the log, the role or
-// the promise holds mu from its check to its effect.
+// node is the replicated state of one server. Each change of the log, the role or the promise holds
+// mu from the check of its preconditions until it has taken effect.
 type node struct {
 	id     target.ID
 	faults *Faults
@@ -30,8 +30,8 @@
 	engine   *engine
 	// follower is the running replication, nil on a primary.
 	follower *follower
-	// discarded remembers what each Follow dropped, by its term, so that a
-	// repeated order answers alike.
+	// discarded holds the entries that each follow command has discarded, by its term, so that a
+	// repeated command gets the same answer.
 	discarded map[timeline.Term][]target.Entry
 }
 
@@ -60,7 +60,7 @@
 	return n, n.seed(ctx, o.Seed)
 }
 
-// seed writes the first entry, alike on each server of a group.
+// seed writes the first entry, which is the same on each server of a group.
 func (n *node) seed(ctx context.Context, stmts []string) error {
 	e := Entry{Position: timeline.Position{Term: firstTerm, LSN: 1}}
 	for _, s := range append([]string{RequestTable}, stmts...) {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// status returns the server's account of itself.
+// status returns the server's status report.
 func (n *node) status() target.Status {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -92,38 +92,39 @@
 	}
 }
 
-// store returns the present storage. A rewind replaces it.
-func (n *node) store() *engine {
+// storage returns the current storage. A rewind replaces it.
+func (n *node) storage() *engine {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.engine
 }
 
-// writable reports the term in which this server takes writes, and its
-// storage. ok is false on a replica and on a fenced primary.
+// writable returns the term in which this server accepts writes, and its storage. ok is false on a
+// replica, on a fenced primary and after stop.
 func (n *node) writable() (term timeline.Term, e *engine, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	term = n.entries.end().Term
-	return term, n.engine, n.leadsLocked(term)
+	return term, n.engine, n.acceptsWritesLocked(term)
 }
 
-func (n *node) leadsLocked(term timeline.Term) bool {
+// acceptsWritesLocked reports whether this server is the primary of term and has not promised a
+// higher term.
+func (n *node) acceptsWritesLocked(term timeline.Term) bool {
 	return !n.stopped && n.role == target.RolePrimary && n.entries.end().Term == term && n.promised <= term
 }
 
-// commit commits tx and returns the position of its entry. A transaction that
-// wrote nothing adds no entry.
+// commit commits tx and returns the position of its entry. A transaction without writes adds no
+// entry and returns the end of the log.
 //
-// Failure stopped here: a primary that was fenced while a transaction was open
-// commits it afterwards, and the promotion loses an acknowledged write. It
-// would show as an acknowledged row that no server has. The promise is checked
-// and the entry appended under one hold of mu, which fence also takes.
+// Failure guarded against: a primary is fenced while a transaction is open and commits it
+// afterwards. The promotion then loses an acknowledged write: no server has the row. The promise is
+// therefore checked and the entry appended under one hold of mu, which fence also takes.
 func (n *node) commit(tx *writeTx) (timeline.Position, error) {
-	n.faults.pause()
+	n.faults.waitWhileFrozen()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.leadsLocked(tx.term) || n.engine != tx.engine {
+	if !n.acceptsWritesLocked(tx.term) || n.engine != tx.engine {
 		tx.rollback()
 		return timeline.Position{}, errEvicted
 	}
@@ -145,15 +146,15 @@
 	})
 }
 
-// fence promises term and ends the open write transaction of a lower one.
+// fence promises term and rolls back the open write transaction of a lower term.
 func (n *node) fence(term timeline.Term) (target.Status, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.blank {
-		return target.Status{}, failure(codeNotInState, "this server has lost its storage and may not vote")
+		return target.Status{}, sqlErrorf(codeNotInState, "this server has lost its storage and may not vote")
 	}
 	if term < n.promised {
-		return target.Status{}, fenced(n.promised)
+		return target.Status{}, newFencedError(n.promised)
 	}
 	n.promised = term
 	if n.entries.end().Term < term {
@@ -165,17 +166,17 @@
 
 // promote makes the server the primary of the term that it has promised.
 //
-// Failure stopped here: a term with two primaries. A server that holds entries
-// of the term as a replica follows its primary, and so refuses.
+// Failure guarded against: a term with two primaries. A server that follows the primary of the term
+// or has entries of the term therefore refuses.
 func (n *node) promote(term timeline.Term) (target.Status, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.leadsLocked(term) {
+	if n.acceptsWritesLocked(term) {
 		return n.statusLocked(), nil
 	}
 	following := n.follower != nil && n.follower.term >= term
 	if n.blank || n.promised != term || n.entries.end().Term >= term || following {
-		return target.Status{}, fenced(n.promised)
+		return target.Status{}, newFencedError(n.promised)
 	}
 	n.stopFollowerLocked()
 	n.engine.evict()
@@ -185,7 +186,7 @@
 	return n.statusLocked(), nil
 }
 
-// stop ends replication and commits nothing more.
+// stop ends replication and makes the node refuse all further commits.
 func (n *node) stop() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/standin/dbd/options.go
+++ b/internal/standin/dbd/options.go
@@ -8,56 +8,56 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// Role is how a server starts.
+// Role is the role of a server at its start.
 type Role string
 
 const (
-	// RolePrimary leads term 1.
+	// RolePrimary is the primary of term 1.
 	RolePrimary Role = "primary"
-	// RoleReplica holds the seed and follows Options.Primary, if there is one.
+	// RoleReplica starts with the seed entry and follows Options.Primary, if it is set.
 	RoleReplica Role = "replica"
-	// RoleBlank has lost its storage: it may not be fenced or promoted until it
-	// has followed a primary.
+	// RoleBlank has lost its storage: it refuses to be fenced or promoted until it has followed a
+	// primary.
 	RoleBlank Role = "blank"
 )
 
-// RequestTable keeps the keys of requests that run at most once. It is the
-// first statement of each group's log.
+// RequestTable creates the table of the keys of requests that run at most once. It is the first
+// statement of each group's log.
 const RequestTable = `CREATE TABLE endivemoor_requests (
 	key TEXT PRIMARY KEY,
 	digest TEXT NOT NULL,
 	answer TEXT
 )`
 
-// Options describe one server. The zero value of a field means its default.
+// Options configures one server. The zero value of a field means its default.
 type Options struct {
 	ID target.ID
 	// Listen is the SQL address, by default a free port of 127.0.0.1.
 	Listen string
-	// Control is the HTTP address for faults and evidence; "" means none.
+	// Control is the HTTP address of ControlHandler; "" means none.
 	Control string
 	Zone    string
 	Role    Role
 	// Primary is the SQL address that a replica follows from the start.
 	Primary string
-	// Connections limits connections other than control and replication.
+	// Connections limits the number of connections, not counting those of control and replication.
 	Connections int
-	// Slots limits statements that run at once.
+	// Slots limits the number of statements that run at once.
 	Slots int
 	// ConnectCost is the time that opening a connection takes.
 	ConnectCost time.Duration
-	// StatementCost is the least time that a statement holds its slot.
+	// StatementCost is the minimum time that a statement holds its slot.
 	StatementCost time.Duration
 	// Delay is the replication delay of this server.
 	Delay time.Duration
-	// Seed is run after RequestTable, alike on each server of a group.
+	// Seed lists the statements that each server of a group runs after RequestTable.
 	Seed []string
 	// Users maps names to passwords for SCRAM-SHA-256; none means trust.
 	Users map[string]string
 	// LockTimeout bounds the wait for the write lock.
 	LockTimeout time.Duration
-	// IdleInTransaction ends a connection that leaves a transaction open: it
-	// holds the only write lock, where PostgreSQL has a lock for each row.
+	// IdleInTransaction is the time after which a connection that is idle in a transaction is
+	// closed: it holds the only write lock, where PostgreSQL has a lock for each row.
 	IdleInTransaction time.Duration
 	Log               *zap.Logger
 }
--- a/internal/standin/dbd/peer.go
+++ b/internal/standin/dbd/peer.go
@@ -15,18 +15,18 @@
 const (
 	// PeerApplication is the prefix of a replica's application_name.
 	PeerApplication = "endivemoor-replica"
-	// ControlApplication is the prefix of the application_name of control
-	// connections, which do not count towards the limit.
+	// ControlApplication is the prefix of the application_name of control connections, which do not
+	// count towards the connection limit.
 	ControlApplication = "endivemoor-control"
-	// peerTimeout bounds one question to another server.
+	// peerTimeout bounds a connection attempt to another server, and one query there.
 	peerTimeout = 2 * time.Second
-	// pollTimeout is how long a primary keeps a question for entries open.
+	// pollTimeout is how long a primary waits for a new entry before it answers a fetch with none.
 	pollTimeout = 250 * time.Millisecond
-	// pollLimit is the greatest number of entries in one answer.
+	// pollLimit is the maximum number of entries in one answer.
 	pollLimit = 500
 )
 
-// primaryHistory is a primary's log in outline.
+// primaryHistory describes a primary's log: the starts of its terms and its last LSN.
 type primaryHistory struct {
 	starts timeline.History
 	end    timeline.LSN
@@ -46,13 +46,13 @@
 }
 
 func closePeer(conn *pgconn.PgConn) {
-	ctx, cancel := context.WithTimeout(context.Background(), retryPause)
+	ctx, cancel := context.WithTimeout(context.Background(), retryDelay)
 	defer cancel()
 	_ = conn.Close(ctx)
 }
 
-// ask runs one question whose parameters are all text.
-func ask(ctx context.Context, conn *pgconn.PgConn, sqlText string, args ...uint64) ([][][]byte, error) {
+// queryPeer runs one query, whose parameters are sent as text, and returns its rows.
+func queryPeer(ctx context.Context, conn *pgconn.PgConn, sqlText string, args ...uint64) ([][][]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	params := make([][]byte, len(args))
@@ -63,20 +63,20 @@
 	return res.Rows, res.Err
 }
 
-// fetchHistory asks the primary of term for the starts of its terms.
+// fetchHistory queries the primary of term for the history of its log.
 func fetchHistory(ctx context.Context, name, primary string, term timeline.Term) (primaryHistory, error) {
 	conn, err := dialPeer(ctx, name, primary)
 	if err != nil {
 		return primaryHistory{}, err
 	}
 	defer closePeer(conn)
-	rows, err := ask(ctx, conn, "SELECT * FROM endivemoor_history($1)", uint64(term))
+	rows, err := queryPeer(ctx, conn, "SELECT * FROM endivemoor_history($1)", uint64(term))
 	if err != nil {
 		return primaryHistory{}, err
 	}
 	var h primaryHistory
 	for _, row := range rows {
-		n, err := uints(row)
+		n, err := parseUints(row)
 		if err != nil {
 			return primaryHistory{}, err
 		}
@@ -86,16 +86,16 @@
 	return h, nil
 }
 
-// fetchEntries asks the primary of term for what follows have.
+// fetchEntries queries the primary of term for the entries after have.
 func fetchEntries(ctx context.Context, conn *pgconn.PgConn, have timeline.Position, term timeline.Term) ([]Entry, error) {
-	rows, err := ask(ctx, conn, "SELECT * FROM endivemoor_log($1, $2, $3)",
+	rows, err := queryPeer(ctx, conn, "SELECT * FROM endivemoor_log($1, $2, $3)",
 		uint64(have.Term), uint64(have.LSN), uint64(term))
 	if err != nil {
 		return nil, err
 	}
 	out := make([]Entry, 0, len(rows))
 	for _, row := range rows {
-		n, err := uints(row[:3])
+		n, err := parseUints(row[:3])
 		if err != nil {
 			return nil, err
 		}
@@ -104,14 +104,14 @@
 			CommittedMicros: int64(n[2]),
 		}
 		if err := json.Unmarshal(row[3], &e.Statements); err != nil {
-			return nil, errors.Wrap(err, "decode a replicated entry")
+			return nil, errors.Wrap(err, "decode the statements of a replicated entry")
 		}
 		out = append(out, e)
 	}
 	return out, nil
 }
 
-func uints(row [][]byte) ([]uint64, error) {
+func parseUints(row [][]byte) ([]uint64, error) {
 	out := make([]uint64, len(row))
 	for i, b := range row {
 		n, err := strconv.ParseUint(string(b), 10, 64)
@@ -123,42 +123,44 @@
 	return out, nil
 }
 
-// history answers a replica's question for the starts of this primary's terms.
+// history returns the history of the log to a replica. Only the primary of term answers.
 func (n *node) history(term timeline.Term) (primaryHistory, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.leadsLocked(term) {
-		return primaryHistory{}, fenced(n.promised)
+	if !n.acceptsWritesLocked(term) {
+		return primaryHistory{}, newFencedError(n.promised)
 	}
 	return primaryHistory{starts: n.entries.history, end: n.entries.end().LSN}, nil
 }
 
-// entriesAfter answers a replica's question for entries; it waits a while for
-// one to appear.
+// entriesAfter returns the entries after have to a replica. If there are none, it waits for one up
+// to pollTimeout.
 func (n *node) entriesAfter(ctx context.Context, have timeline.Position, term timeline.Term) ([]Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	for {
-		out, grown, err := n.tryEntries(have, term)
+		out, appended, err := n.tryEntries(have, term)
 		if err != nil || len(out) > 0 {
 			return out, err
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-ctx.Done():
 			return nil, nil
 		}
 	}
 }
 
+// tryEntries returns the entries after have, and a channel that is closed when the next one is
+// appended.
 func (n *node) tryEntries(have timeline.Position, term timeline.Term) ([]Entry, <-chan struct{}, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.entries.end().Term != term {
-		return nil, nil, failure(codeNotInState, "this server's log is of term %d", n.entries.end().Term)
+		return nil, nil, sqlErrorf(codeNotInState, "this server's log is of term %d", n.entries.end().Term)
 	}
-	if !n.entries.holds(have) {
-		return nil, nil, failure(codeNotInState, "log mismatch at %v: follow again", have)
+	if !n.entries.contains(have) {
+		return nil, nil, sqlErrorf(codeNotInState, "log mismatch at %v: follow again", have)
 	}
-	return n.entries.after(have.LSN, pollLimit), n.entries.grown, nil
+	return n.entries.after(have.LSN, pollLimit), n.entries.appended, nil
 }
--- a/internal/standin/dbd/result.go
+++ b/internal/standin/dbd/result.go
@@ -11,17 +11,17 @@
 	"github.com/pkg/errors"
 )
 
-// result is the whole answer to one statement, held in memory.
+// result is the complete result of one statement, held in memory.
 type result struct {
 	cols []column
 	rows [][]any
-	// changes counts the rows that an INSERT, UPDATE or DELETE touched.
+	// changes is the number of rows that an INSERT, UPDATE or DELETE has changed.
 	changes int64
 	tag     string
 }
 
-// Statement verbs that the server must know: transaction control, session
-// settings, and those whose command tag carries a count.
+// Statement verbs that the server distinguishes: those of transaction control and of session
+// settings, and those whose command tag has a count.
 const (
 	verbBegin      = "BEGIN"
 	verbStart      = "START"
@@ -47,7 +47,7 @@
 
 // query runs one statement on conn and reads its whole result.
 func query(ctx context.Context, conn *sql.Conn, s Statement) (*result, error) {
-	rows, err := conn.QueryContext(ctx, s.SQL, natives(s.Args)...)
+	rows, err := conn.QueryContext(ctx, s.SQL, driverArgs(s.Args)...)
 	if err != nil {
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 	return res, rows.Err()
 }
 
-// commandTag returns what CommandComplete carries for the statement.
+// commandTag returns the command tag of the statement for CommandComplete.
 func commandTag(sqlText string, r *result) string {
 	words := leadingWords(sqlText, 2)
 	switch {
@@ -107,8 +107,8 @@
 	}
 }
 
-// typeOID maps a column's declared SQLite type to a PostgreSQL type. Zero, for
-// expressions, lets the client decode the text by the type it asks for.
+// typeOID maps a column's declared SQLite type to a PostgreSQL type. Expressions have no declared
+// type: for them it returns zero, and the client decodes the text to the type that it needs.
 func typeOID(declared string) uint32 {
 	switch strings.ToUpper(declared) {
 	case "INTEGER", "INT", "BIGINT":
@@ -124,7 +124,7 @@
 	}
 }
 
-// rowDescription describes cols with the formats that the client asked for.
+// rowDescription describes cols in the formats that the client has requested.
 func rowDescription(cols []column, formats []int16) *pgproto3.RowDescription {
 	d := &pgproto3.RowDescription{}
 	for i, c := range cols {
@@ -139,7 +139,8 @@
 	return d
 }
 
-// formatOf applies the protocol's rule: none means text, one means all alike.
+// formatOf returns the format of value i by the protocol's rule: no format code means text for all,
+// and a single one applies to all.
 func formatOf(formats []int16, i int) int16 {
 	switch {
 	case len(formats) == 0:
@@ -190,8 +191,8 @@
 
 func sprint(v any) string { return fmt.Sprint(v) }
 
-// decode turns a parameter from the wire into a Value. Parameters of no stated
-// type, or of a text format, stay text: SQLite converts by column.
+// decode converts a parameter of the wire protocol to a Value. Parameters in text format, other
+// than BYTEA, stay text: SQLite converts them by the type of the column.
 func decode(m *pgtype.Map, oid uint32, format int16, src []byte) (Value, error) {
 	if src == nil {
 		return Value{}, nil
--- a/internal/standin/dbd/server.go
+++ b/internal/standin/dbd/server.go
@@ -28,13 +28,13 @@
 	cancel     context.CancelFunc
 	ctx        context.Context
 
-	mu       sync.Mutex
-	sessions map[uint32]*session
-	counted  int
-	lastPID  atomic.Uint32
-	closed   atomic.Bool
-	wg       sync.WaitGroup
-	// onKill is what a kill fault does; a process exits.
+	mu              sync.Mutex
+	sessions        map[uint32]*session
+	limitedSessions int
+	lastPID         atomic.Uint32
+	closed          atomic.Bool
+	wg              sync.WaitGroup
+	// onKill carries out a kill fault: Kill by default, and an exit of the process under Command.
 	onKill func()
 }
 
@@ -64,7 +64,7 @@
 	go s.accept()
 	if o.Role == RoleReplica && o.Primary != "" {
 		s.wg.Add(1)
-		go s.join()
+		go s.followConfiguredPrimary()
 	}
 	return s, nil
 }
@@ -89,7 +89,7 @@
 // Addr is the SQL address, "ip:port".
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// ControlAddr is the HTTP control address, or "".
+// ControlAddr is the HTTP control address, or "" if there is none.
 func (s *Server) ControlAddr() string {
 	if s.controlLn == nil {
 		return ""
@@ -100,13 +100,13 @@
 // ID is the server's name.
 func (s *Server) ID() target.ID { return s.opts.ID }
 
-// Status is what endivemoor_status() answers.
+// Status is the status report that endivemoor_status() returns.
 func (s *Server) Status() target.Status { return s.node.status() }
 
 // Faults returns the controls of the server's faults.
 func (s *Server) Faults() *Faults { return s.faults }
 
-// Executions returns the write transactions that this server has seen end.
+// Executions returns the write transactions that have ended on this server.
 func (s *Server) Executions() []Execution { return s.executions.all() }
 
 // Entries returns the server's replicated log.
@@ -116,8 +116,9 @@
 	return append([]Entry(nil), s.node.entries.entries...)
 }
 
-// join follows the configured primary, which may start later.
-func (s *Server) join() {
+// followConfiguredPrimary makes the server follow Options.Primary. It retries, since that server
+// may start later, and stops when this server has promised a newer term.
+func (s *Server) followConfiguredPrimary() {
 	defer s.wg.Done()
 	for s.ctx.Err() == nil {
 		_, err := s.node.follow(s.ctx, s.opts.Primary, firstTerm)
@@ -125,7 +126,7 @@
 		if err == nil || errors.As(err, &refused) && refused.code == codeNotInState {
 			return
 		}
-		wait.For(s.ctx, retryPause)
+		wait.For(s.ctx, retryDelay)
 	}
 }
 
@@ -143,13 +144,14 @@
 		}
 		go func() {
 			defer s.wg.Done()
-			defer s.leave(x)
+			defer s.unregister(x)
 			x.serve()
 		}()
 	}
 }
 
-// register notes a new connection, so that Kill finds it.
+// register records a new connection, so that Kill closes it. It reports false if the server is
+// closed.
 func (s *Server) register(x *session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,31 +163,32 @@
 	return true
 }
 
-// admit counts a session that has said who it is, unless there are too many.
+// admit counts a session towards the connection limit after its startup message, or refuses it if
+// the limit is reached.
 func (s *Server) admit(x *session) *sqlError {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if x.reserved() {
+	if x.exemptFromLimit() {
 		return nil
 	}
-	if s.counted >= s.opts.Connections {
-		return failure(codeTooManyConnections, "sorry, too many clients already")
+	if s.limitedSessions >= s.opts.Connections {
+		return sqlErrorf(codeTooManyConnections, "sorry, too many clients already")
 	}
-	s.counted++
-	x.counted = true
+	s.limitedSessions++
+	x.countedInLimit = true
 	return nil
 }
 
-func (s *Server) leave(x *session) {
+func (s *Server) unregister(x *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.sessions, x.pid)
-	if x.counted {
-		s.counted--
+	if x.countedInLimit {
+		s.limitedSessions--
 	}
 }
 
-// cancelRequest interrupts the statement that a session runs.
+// cancelRequest interrupts the running statement of the session with this process ID and secret.
 func (s *Server) cancelRequest(pid, secret uint32) {
 	s.mu.Lock()
 	x := s.sessions[pid]
@@ -195,8 +198,8 @@
 	}
 }
 
-// Kill ends all connections at once, as a crash does; open transactions are
-// lost. The storage is kept for inspection until Close.
+// Kill closes all connections at once, as a crash does; open transactions are lost. The storage
+// stays readable for inspection until Close.
 func (s *Server) Kill() {
 	if s.closed.Swap(true) {
 		return
@@ -216,7 +219,7 @@
 	}
 }
 
-// Close ends the server and frees its storage. It waits for its sessions.
+// Close stops the server, waits until its sessions have ended and frees its storage.
 func (s *Server) Close() {
 	s.faults.Heal()
 	s.faults.Thaw()
--- a/internal/standin/dbd/session.go
+++ b/internal/standin/dbd/session.go
@@ -15,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// maxMessage bounds one message from a client, in bytes.
+// maxMessage is the maximum size of a message from a client, in bytes.
 const maxMessage = 16 << 20
 
 // session serves one client connection.
@@ -24,17 +24,17 @@
 	conn *faultConn
 	be   *pgproto3.Backend
 	// types encodes and decodes values; it is not safe for concurrent use.
-	types       *pgtype.Map
-	pid, secret uint32
-	application string
-	user        string
-	counted     bool
-	settings    settings
+	types          *pgtype.Map
+	pid, secret    uint32
+	application    string
+	user           string
+	countedInLimit bool
+	settings       settings
 
 	tx         transaction
 	statements map[string]*prepared
 	portals    map[string]*portal
-	// skipping is set after an error in the extended protocol, until Sync.
+	// skipping is set from an error in the extended protocol until Sync: messages are ignored.
 	skipping bool
 
 	// cancelMu guards cancel, which interrupts the running statement.
@@ -64,8 +64,8 @@
 	return binary.BigEndian.Uint32(b[:])
 }
 
-// reserved reports whether the session is exempt from the connection limit.
-func (x *session) reserved() bool {
+// exemptFromLimit reports whether the session does not count towards the connection limit.
+func (x *session) exemptFromLimit() bool {
 	return strings.HasPrefix(x.application, PeerApplication) || strings.HasPrefix(x.application, ControlApplication)
 }
 
@@ -75,11 +75,11 @@
 	if !x.start() {
 		return
 	}
-	defer x.abandon()
+	defer x.rollbackOnDisconnect()
 	for {
 		msg, err := x.receive()
 		if err != nil {
-			x.sayGoodbye(err)
+			x.sendTerminationReason(err)
 			return
 		}
 		if _, ok := msg.(*pgproto3.Terminate); ok {
@@ -92,11 +92,11 @@
 	}
 }
 
-// receive reads one message; a session that leaves a transaction open and idle
-// is given up, since it holds the write lock.
+// receive reads one message. It fails if the session is idle in a transaction for longer than
+// Options.IdleInTransaction, since the transaction holds the write lock.
 func (x *session) receive() (pgproto3.FrontendMessage, error) {
 	deadline := time.Time{}
-	if x.tx.block {
+	if x.tx.inBlock {
 		deadline = time.Now().Add(x.srv.opts.IdleInTransaction)
 	}
 	if err := x.conn.SetReadDeadline(deadline); err != nil {
@@ -105,12 +105,13 @@
 	return x.be.Receive()
 }
 
-func (x *session) sayGoodbye(err error) {
+// sendTerminationReason reports to the client why the server closes the connection.
+func (x *session) sendTerminationReason(err error) {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		x.sendFatal(failure(codeIdleInTransaction, "terminating connection due to idle-in-transaction timeout"))
+		x.sendFatal(sqlErrorf(codeIdleInTransaction, "terminating connection due to idle-in-transaction timeout"))
 	case x.srv.closed.Load():
-		x.sendFatal(failure(codeAdminShutdown, "terminating connection due to administrator command"))
+		x.sendFatal(sqlErrorf(codeAdminShutdown, "terminating connection due to administrator command"))
 	}
 }
 
@@ -119,7 +120,7 @@
 	_ = x.be.Flush()
 }
 
-// mustFlush reports whether the protocol asks for an answer now.
+// mustFlush reports whether the protocol requires that pending answers are sent after msg.
 func (x *session) mustFlush(msg pgproto3.FrontendMessage) bool {
 	switch msg.(type) {
 	case *pgproto3.Query, *pgproto3.Sync, *pgproto3.Flush:
@@ -160,7 +161,7 @@
 	case *pgproto3.Close:
 		x.closeObject(m)
 	default:
-		err = failure(codeNotSupported, "message %T is not supported", msg)
+		err = sqlErrorf(codeNotSupported, "message %T is not supported", msg)
 	}
 	if err != nil {
 		x.fail(err)
@@ -168,16 +169,16 @@
 	}
 }
 
-// fail reports err and moves the transaction to the failed state.
+// fail sends err to the client and moves the transaction to the failed state.
 func (x *session) fail(err error) {
 	x.be.Send(asSQLError(err).response(severityError))
 	x.failTransaction()
 }
 
-// sync ends an implicit transaction and says that the session is ready.
+// sync commits an implicit transaction and reports that the session is ready.
 func (x *session) sync() {
 	x.skipping = false
-	if !x.tx.block {
+	if !x.tx.inBlock {
 		if err := x.commit(); err != nil {
 			x.fail(err)
 		}
@@ -189,8 +190,8 @@
 	x.be.Send(&pgproto3.ReadyForQuery{TxStatus: x.tx.state()})
 }
 
-// simpleQuery runs the statements of one Query message. Outside a block they
-// are one implicit transaction, committed before the last one is answered.
+// simpleQuery runs the statements of one Query message. Outside a block they are one implicit
+// transaction, which is committed before the result of the last one is sent.
 func (x *session) simpleQuery(text string) {
 	defer x.ready()
 	stmts := split(text)
@@ -200,7 +201,7 @@
 	}
 	for i, s := range stmts {
 		res, err := x.run(Statement{SQL: s})
-		if err == nil && i == len(stmts)-1 && !x.tx.block {
+		if err == nil && i == len(stmts)-1 && !x.tx.inBlock {
 			err = x.commit()
 		}
 		if err == nil {
@@ -213,7 +214,7 @@
 	}
 }
 
-// sendResult answers a simple query's statement.
+// sendResult sends the result of one statement of a simple query, as text.
 func (x *session) sendResult(res *result) error {
 	if len(res.cols) > 0 {
 		x.be.Send(rowDescription(res.cols, nil))
@@ -229,7 +230,7 @@
 	return nil
 }
 
-// statementContext returns a context that a cancel request ends.
+// statementContext returns a context that a cancel request or Options.LockTimeout ends.
 func (x *session) statementContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(x.srv.ctx, x.srv.opts.LockTimeout)
 	x.cancelMu.Lock()
--- a/internal/standin/dbd/settings.go
+++ b/internal/standin/dbd/settings.go
@@ -8,17 +8,17 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// settings are a session's run-time parameters. They have no meaning here but
-// for application_name; they are kept so that a test can see whether a proxy
-// lets one caller's settings reach the next.
+// settings are the run-time parameters of a session. Only application_name has an effect on this
+// server; the others let a test check that a proxy does not pass the settings of one caller on to
+// the next.
 type settings struct {
-	// initial is what the startup message set; a reset returns to it.
+	// initial holds the values of the startup message, which RESET restores.
 	initial map[string]string
 	current map[string]string
-	// before is the state at BEGIN, which a rollback returns to.
-	before map[string]string
-	// local is the state that the end of a block returns to, after SET LOCAL.
-	local map[string]string
+	// atBegin holds the values at BEGIN, which a rollback restores; nil outside a block.
+	atBegin map[string]string
+	// beforeLocal holds the values before the first SET LOCAL of a block, which COMMIT restores.
+	beforeLocal map[string]string
 }
 
 var (
@@ -27,9 +27,9 @@
 	resetStatement = regexp.MustCompile(`(?is)^RESET\s+([a-z_.]+)\s*;?\s*$`)
 )
 
-// reported names the parameters whose change the protocol reports, in the
-// spelling of the report.
-var reported = map[string]string{
+// reportedParameters maps the parameters whose changes are reported to the client to their spelling
+// in the report.
+var reportedParameters = map[string]string{
 	"application_name": "application_name",
 	"client_encoding":  "client_encoding",
 	"datestyle":        "DateStyle",
@@ -38,7 +38,7 @@
 
 const (
 	applicationName = "application_name"
-	// transactionReadOnly can be shown, and follows the server's role.
+	// transactionReadOnly can be shown; its value depends on the server's role.
 	transactionReadOnly = "transaction_read_only"
 	defaultValue        = "default"
 )
@@ -58,20 +58,20 @@
 	return settings{initial: initial, current: maps.Clone(initial)}
 }
 
-// set executes SET. A form that it does not know, such as SET SESSION
-// CHARACTERISTICS, is accepted without effect.
+// set executes SET. Unsupported forms, such as SET SESSION CHARACTERISTICS, are accepted without
+// effect.
 func (x *session) set(text string) {
-	m := setStatement.FindStringSubmatch(bare(text))
+	m := setStatement.FindStringSubmatch(trimComments(text))
 	if m == nil {
 		return
 	}
 	name, value := strings.ToLower(m[2]), strings.Trim(m[3], `'"`)
 	if strings.EqualFold(m[1], "LOCAL") {
-		if !x.tx.block {
+		if !x.tx.inBlock {
 			return
 		}
-		if x.settings.local == nil {
-			x.settings.local = maps.Clone(x.settings.current)
+		if x.settings.beforeLocal == nil {
+			x.settings.beforeLocal = maps.Clone(x.settings.current)
 		}
 	}
 	if strings.EqualFold(value, defaultValue) {
@@ -83,7 +83,7 @@
 
 // reset executes RESET name and RESET ALL.
 func (x *session) reset(text string) {
-	m := resetStatement.FindStringSubmatch(bare(text))
+	m := resetStatement.FindStringSubmatch(trimComments(text))
 	if m == nil {
 		return
 	}
@@ -95,34 +95,34 @@
 	x.restore(x.settings.initial)
 }
 
-// restore makes a remembered state current again.
+// restore replaces the current values by saved ones and reports the changes.
 func (x *session) restore(to map[string]string) {
 	from := x.settings.current
 	x.settings.current = maps.Clone(to)
-	for name := range reported {
+	for name := range reportedParameters {
 		if from[name] != to[name] {
 			x.report(name)
 		}
 	}
 }
 
-// report tells the client of a changed parameter, if the protocol asks for it.
+// report applies a changed parameter and reports it to the client if the protocol requires it.
 func (x *session) report(name string) {
 	value := x.settings.current[name]
 	if name == applicationName {
 		x.application = value
 		x.conn.setApplication(value)
 	}
-	if spelling, ok := reported[name]; ok {
+	if spelling, ok := reportedParameters[name]; ok {
 		x.be.Send(&pgproto3.ParameterStatus{Name: spelling, Value: value})
 	}
 }
 
 // show executes SHOW.
 func (x *session) show(text string) (*result, error) {
-	m := showStatement.FindStringSubmatch(bare(text))
+	m := showStatement.FindStringSubmatch(trimComments(text))
 	if m == nil {
-		return nil, failure(codeSyntax, "cannot show that")
+		return nil, sqlErrorf(codeSyntax, "cannot show that")
 	}
 	name := strings.ToLower(m[1])
 	value, known := x.settings.current[name]
@@ -130,7 +130,7 @@
 		value, known = x.readOnlyValue(), true
 	}
 	if !known {
-		return nil, failure(codeUndefinedObject, "unrecognized configuration parameter %q", name)
+		return nil, sqlErrorf(codeUndefinedObject, "unrecognized configuration parameter %q", name)
 	}
 	return &result{cols: []column{{name: name}}, rows: [][]any{{value}}, tag: verbShow}, nil
 }
@@ -142,21 +142,22 @@
 	return "on"
 }
 
-// settingsAtBegin remembers what a rollback returns to.
-func (x *session) settingsAtBegin() {
-	x.settings.before = maps.Clone(x.settings.current)
-	x.settings.local = nil
+// saveSettings saves the values at the start of a block.
+func (x *session) saveSettings() {
+	x.settings.atBegin = maps.Clone(x.settings.current)
+	x.settings.beforeLocal = nil
 }
 
-// settingsAtEnd takes back what a block's end takes back.
-func (x *session) settingsAtEnd(committed bool) {
+// endBlockSettings restores the values that the end of a block undoes: all changes since BEGIN
+// after a rollback, and those since the first SET LOCAL after a commit.
+func (x *session) endBlockSettings(committed bool) {
 	switch {
-	case x.settings.before == nil:
+	case x.settings.atBegin == nil:
 		return
 	case !committed:
-		x.restore(x.settings.before)
-	case x.settings.local != nil:
-		x.restore(x.settings.local)
+		x.restore(x.settings.atBegin)
+	case x.settings.beforeLocal != nil:
+		x.restore(x.settings.beforeLocal)
 	}
-	x.settings.before, x.settings.local = nil, nil
+	x.settings.atBegin, x.settings.beforeLocal = nil, nil
 }
--- a/internal/standin/dbd/sqlstate.go
+++ b/internal/standin/dbd/sqlstate.go
@@ -13,7 +13,7 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// SQLSTATE codes that the server answers with.
+// SQLSTATE codes and texts of the server's errors.
 const (
 	codeProtocolViolation    = "08P01"
 	codeConnectionFailure    = "08006"
@@ -61,12 +61,13 @@
 // Error returns the message with its code.
 func (e *sqlError) Error() string { return e.message + " (" + e.code + ")" }
 
-func failure(code, format string, args ...any) *sqlError {
+func sqlErrorf(code, format string, args ...any) *sqlError {
 	return &sqlError{code: code, message: fmt.Sprintf(format, args...)}
 }
 
-// fenced refuses an order because of a promise to a higher term.
-func fenced(promised timeline.Term) *sqlError {
+// newFencedError returns the error of a command that the server's promise of another term refuses.
+// Its detail has the promised term.
+func newFencedError(promised timeline.Term) *sqlError {
 	return &sqlError{
 		code:    codeNotInState,
 		message: "this server has promised another term",
@@ -89,7 +90,7 @@
 	sqlite3.SQLITE_CONSTRAINT:            codeIntegrity,
 }
 
-// engineMessages maps SQLite's general error by its text.
+// engineMessages maps errors without a specific SQLite result code by a part of their text.
 var engineMessages = []struct{ text, code string }{
 	{"no such table", codeUndefinedTable},
 	{"no such column", codeUndefinedColumn},
@@ -99,13 +100,13 @@
 	{"missing named argument", codeProtocolViolation},
 }
 
-// isReadOnly reports whether SQLite refused err's statement as a write.
+// isReadOnly reports whether err is SQLite's refusal of a write on a read-only connection.
 func isReadOnly(err error) bool {
 	var e *sqlite.Error
 	return errors.As(err, &e) && e.Code() == sqlite3.SQLITE_READONLY
 }
 
-// asSQLError gives any error a SQLSTATE.
+// asSQLError converts any error to one with a SQLSTATE.
 func asSQLError(err error) *sqlError {
 	var own *sqlError
 	if errors.As(err, &own) {
@@ -113,13 +114,13 @@
 	}
 	switch {
 	case errors.Is(err, errEvicted):
-		return failure(codeReadOnly, "transaction was rolled back: this server was fenced")
+		return sqlErrorf(codeReadOnly, "transaction was rolled back: this server was fenced")
 	case errors.Is(err, context.Canceled):
-		return failure(codeQueryCanceled, "canceling statement due to user request")
+		return sqlErrorf(codeQueryCanceled, "canceling statement due to user request")
 	case errors.Is(err, context.DeadlineExceeded):
-		return failure(codeLockNotAvailable, "canceling statement due to lock timeout")
+		return sqlErrorf(codeLockNotAvailable, "canceling statement due to lock timeout")
 	case errors.Is(err, errClosed):
-		return failure(codeReadOnly, readOnlyMessage)
+		return sqlErrorf(codeReadOnly, readOnlyMessage)
 	}
 	return engineError(err)
 }
@@ -128,15 +129,15 @@
 	var e *sqlite.Error
 	if errors.As(err, &e) {
 		if code, ok := engineCodes[e.Code()]; ok {
-			return failure(code, "%s", e.Error())
+			return sqlErrorf(code, "%s", e.Error())
 		}
 	}
 	for _, m := range engineMessages {
 		if strings.Contains(err.Error(), m.text) {
-			return failure(m.code, "%s", err.Error())
+			return sqlErrorf(m.code, "%s", err.Error())
 		}
 	}
-	return failure(codeInternal, "%s", err.Error())
+	return sqlErrorf(codeInternal, "%s", err.Error())
 }
 
 // response is the wire form of e.
--- a/internal/standin/dbd/startup.go
+++ b/internal/standin/dbd/startup.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// startupTimeout bounds the time until a client is authenticated.
-	startupTimeout = 10 * time.Second
-	scramMechanism = "SCRAM-SHA-256"
-	scramRounds    = 4096
-	scramSalt      = "endivemoor-standin"
-	refuseTLS      = 'N'
+	// startupTimeout bounds the time from the accepted connection until the client is authenticated.
+	startupTimeout  = 10 * time.Second
+	scramMechanism  = "SCRAM-SHA-256"
+	scramIterations = 4096
+	scramSalt       = "endivemoor-standin"
+	refuseTLS       = 'N'
 )
 
-// fixedParameters are reported at the start and cannot be changed.
+// fixedParameters are reported at startup and cannot be changed.
 var fixedParameters = [][2]string{
 	{"server_version", "15.0 (endivemoor stand-in)"},
 	{"server_encoding", "UTF8"},
@@ -27,7 +27,7 @@
 	{"integer_datetimes", "on"},
 }
 
-// start performs the startup handshake and reports whether to go on.
+// start performs the startup handshake and reports whether it has succeeded.
 func (x *session) start() bool {
 	_ = x.conn.SetDeadline(time.Now().Add(startupTimeout))
 	msg, ok := x.receiveStartup()
@@ -42,18 +42,18 @@
 		x.sendFatal(err)
 		return false
 	}
-	wait.For(x.srv.ctx, time.Duration(float64(x.srv.opts.ConnectCost)*x.srv.faults.slowness()))
+	wait.For(x.srv.ctx, time.Duration(float64(x.srv.opts.ConnectCost)*x.srv.faults.slowFactor()))
 	if err := x.authenticate(); err != nil {
 		x.sendFatal(asSQLError(err))
 		return false
 	}
-	x.greet()
+	x.completeStartup()
 	_ = x.conn.SetDeadline(time.Time{})
 	return x.be.Flush() == nil
 }
 
-// receiveStartup answers requests for encryption and cancellation until the
-// client introduces itself.
+// receiveStartup returns the client's startup message. It refuses requests for encryption, and
+// carries out a cancel request, which ends the connection.
 func (x *session) receiveStartup() (*pgproto3.StartupMessage, bool) {
 	for {
 		msg, err := x.be.ReceiveStartupMessage()
@@ -81,13 +81,14 @@
 	return binary.BigEndian.Uint32(key)
 }
 
-// greet reports the session's parameters.
-func (x *session) greet() {
+// completeStartup queues the messages that end the handshake: the authentication result, the
+// parameters, the cancellation key and ReadyForQuery.
+func (x *session) completeStartup() {
 	x.be.Send(&pgproto3.AuthenticationOk{})
 	for _, p := range fixedParameters {
 		x.be.Send(&pgproto3.ParameterStatus{Name: p[0], Value: p[1]})
 	}
-	for name := range reported {
+	for name := range reportedParameters {
 		x.report(name)
 	}
 	x.be.Send(&pgproto3.BackendKeyData{
@@ -129,8 +130,8 @@
 	return nil
 }
 
-// credentials looks up the startup message's user; PostgreSQL clients leave
-// the name within SCRAM empty.
+// credentials returns the credentials of the user of the startup message, since PostgreSQL clients
+// leave the user name within SCRAM empty.
 func (x *session) credentials(string) (scram.StoredCredentials, error) {
 	password, ok := x.srv.opts.Users[x.user]
 	if !ok {
@@ -140,11 +141,11 @@
 	if err != nil {
 		return scram.StoredCredentials{}, err
 	}
-	return client.GetStoredCredentialsWithError(scram.KeyFactors{Salt: scramSalt, Iters: scramRounds})
+	return client.GetStoredCredentialsWithError(scram.KeyFactors{Salt: scramSalt, Iters: scramIterations})
 }
 
 func (x *session) wrongPassword() error {
-	return failure(codeInvalidPassword, "password authentication failed for user %q", x.user)
+	return sqlErrorf(codeInvalidPassword, "password authentication failed for user %q", x.user)
 }
 
 func (x *session) saslInitial() (string, error) {
@@ -157,7 +158,7 @@
 	}
 	m, ok := msg.(*pgproto3.SASLInitialResponse)
 	if !ok {
-		return "", failure(codeProtocolViolation, "expected a SASL initial response")
+		return "", sqlErrorf(codeProtocolViolation, "expected a SASL initial response")
 	}
 	return string(m.Data), nil
 }
@@ -172,12 +173,12 @@
 	}
 	m, ok := msg.(*pgproto3.SASLResponse)
 	if !ok {
-		return "", failure(codeProtocolViolation, "expected a SASL response")
+		return "", sqlErrorf(codeProtocolViolation, "expected a SASL response")
 	}
 	return string(m.Data), nil
 }
 
-// exchange sends what is pending and reads the next message.
+// exchange sends the queued messages and reads the next one.
 func (x *session) exchange() (pgproto3.FrontendMessage, error) {
 	if err := x.be.Flush(); err != nil {
 		return nil, err
--- a/internal/standin/dbd/transaction.go
+++ b/internal/standin/dbd/transaction.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// Transaction states of ReadyForQuery.
+// Transaction states in ReadyForQuery.
 const (
 	stateIdle   = 'I'
 	stateOpen   = 'T'
@@ -18,16 +18,16 @@
 
 // transaction is a session's open transaction, if there is one.
 type transaction struct {
-	// block is set between BEGIN and COMMIT.
-	block  bool
-	failed bool
-	// savepoints is set once a SAVEPOINT was made: a failed block can then be
-	// rolled back to it and go on.
+	// inBlock is set between BEGIN and COMMIT.
+	inBlock bool
+	failed  bool
+	// savepoints is set after the first SAVEPOINT: a failed block can then be rolled back to it and
+	// continue.
 	savepoints bool
-	// write is the storage's transaction; nil while only reads have run
-	// outside a block, and in a block that may not write or has failed.
+	// write is the transaction in the storage. It is nil while only reads have run outside a block,
+	// and in a block that must not write or has failed.
 	write *writeTx
-	// record is the execution log's account of write.
+	// record is the execution log's record of write.
 	record Execution
 }
 
@@ -35,34 +35,33 @@
 	switch {
 	case t.failed:
 		return stateFailed
-	case t.block:
+	case t.inBlock:
 		return stateOpen
 	default:
 		return stateIdle
 	}
 }
 
-// slowMinimum is the time of a statement that a slow factor multiplies, when
-// StatementCost is less.
-const slowMinimum = time.Millisecond
+// minSlowedCost is the statement time that a slow factor multiplies if StatementCost is less.
+const minSlowedCost = time.Millisecond
 
 // readOnlyBlock matches BEGIN and START TRANSACTION with READ ONLY.
 var readOnlyBlock = regexp.MustCompile(`(?i)\bREAD\s+ONLY\b`)
 
 // run executes one statement within the session's transaction.
 func (x *session) run(s Statement) (*result, error) {
-	x.srv.faults.pause()
+	x.srv.faults.waitWhileFrozen()
 	ctx, done := x.statementContext()
 	defer done()
 	words := leadingWords(s.SQL, 2)
 	if len(words) == 0 {
-		return nil, failure(codeSyntax, "statement without a leading word")
+		return nil, sqlErrorf(codeSyntax, "statement without a leading word")
 	}
-	if ends, ok := x.endBlock(words); ok {
-		return ends, nil
+	if res, ok := x.endBlock(words); ok {
+		return res, nil
 	}
 	if x.tx.failed && !rollsBackTo(words) {
-		return nil, failure(codeFailedTransaction, failedTransactionMessage)
+		return nil, sqlErrorf(codeFailedTransaction, failedTransactionMessage)
 	}
 	switch words[0] {
 	case verbBegin, verbStart:
@@ -78,15 +77,15 @@
 	if res, err, ok := x.controlCall(ctx, s); ok {
 		return res, err
 	}
-	return x.data(ctx, s)
+	return x.runData(ctx, s)
 }
 
 func rollsBackTo(words []string) bool {
 	return words[0] == verbRollback && len(words) > 1 && words[1] == "TO"
 }
 
-// endBlock handles the statements that end a block whatever its state, except
-// the COMMIT of a sound one.
+// endBlock handles the statements that roll back a block: ROLLBACK and ABORT, and the COMMIT of a
+// failed one.
 func (x *session) endBlock(words []string) (*result, bool) {
 	rollback := words[0] == verbAbort || words[0] == verbRollback && !rollsBackTo(words)
 	commit := words[0] == verbCommit || words[0] == verbEnd
@@ -97,27 +96,27 @@
 	return &result{tag: verbRollback}, true
 }
 
-// begin opens a block. On a server that takes writes it waits for the write
-// lock, unless the block is READ ONLY.
+// begin opens a block. On a server that accepts writes it waits for the write lock, unless the
+// block is READ ONLY.
 func (x *session) begin(ctx context.Context, text string) (*result, error) {
-	if x.tx.block {
-		return nil, failure(codeActiveTransaction, "there is already a transaction in progress")
+	if x.tx.inBlock {
+		return nil, sqlErrorf(codeActiveTransaction, "there is already a transaction in progress")
 	}
 	if !readOnlyBlock.MatchString(text) && x.tx.write == nil {
 		if err := x.beginWrite(ctx); err != nil && asSQLError(err).code != codeReadOnly {
 			return nil, err
 		}
 	}
-	x.tx.block = true
-	x.settingsAtBegin()
+	x.tx.inBlock = true
+	x.saveSettings()
 	return &result{tag: verbBegin}, nil
 }
 
-// beginWrite opens the storage's transaction.
+// beginWrite opens a write transaction in the storage.
 func (x *session) beginWrite(ctx context.Context) error {
 	term, e, ok := x.srv.node.writable()
 	if !ok {
-		return failure(codeReadOnly, readOnlyMessage)
+		return sqlErrorf(codeReadOnly, readOnlyMessage)
 	}
 	w, err := e.begin(ctx, term)
 	if err != nil {
@@ -126,7 +125,7 @@
 	x.tx.write = w
 	x.tx.record = Execution{
 		Server:      x.srv.opts.ID,
-		Transaction: x.srv.executions.begin(),
+		Transaction: x.srv.executions.nextTransaction(),
 		Backend:     x.pid,
 		Application: x.application,
 	}
@@ -134,16 +133,16 @@
 }
 
 func (x *session) commitBlock() (*result, error) {
-	x.tx.block = false
+	x.tx.inBlock = false
 	err := x.commit()
-	x.settingsAtEnd(err == nil)
+	x.endBlockSettings(err == nil)
 	if err != nil {
 		return nil, err
 	}
 	return &result{tag: verbCommit}, nil
 }
 
-// commit ends the transaction and keeps its effect.
+// commit commits the transaction and records its execution.
 func (x *session) commit() error {
 	w := x.tx.write
 	if w == nil {
@@ -163,15 +162,16 @@
 	return err
 }
 
-// rollback ends the transaction without effect.
+// rollback rolls back the transaction and the settings of its block.
 func (x *session) rollback() {
-	x.undo()
+	x.rollbackWrite()
 	x.tx = transaction{}
-	x.settingsAtEnd(false)
+	x.endBlockSettings(false)
 }
 
-// undo rolls the storage's transaction back, if there is one.
-func (x *session) undo() {
+// rollbackWrite rolls back the transaction in the storage, if there is one, and records its
+// execution.
+func (x *session) rollbackWrite() {
 	w := x.tx.write
 	if w == nil {
 		return
@@ -182,29 +182,29 @@
 	x.srv.executions.add(x.tx.record)
 }
 
-// failTransaction moves a block to the failed state. Like PostgreSQL it gives
-// up the locks at once, unless a savepoint may still be returned to: a caller
-// that is slow to send ROLLBACK must not hold up the other writers.
+// failTransaction moves a block to the failed state. Like PostgreSQL it releases the locks at once,
+// unless the block has a savepoint to roll back to: a client that is slow to send ROLLBACK must not
+// delay the other writers.
 func (x *session) failTransaction() {
-	if !x.tx.block {
+	if !x.tx.inBlock {
 		x.rollback()
 		return
 	}
 	x.tx.failed = true
 	if !x.tx.savepoints {
-		x.undo()
+		x.rollbackWrite()
 	}
 }
 
-// abandon ends the transaction of a connection that is gone.
-func (x *session) abandon() { x.rollback() }
+// rollbackOnDisconnect rolls back the transaction of a closed connection.
+func (x *session) rollbackOnDisconnect() { x.rollback() }
 
 func (x *session) savepoint(ctx context.Context, s Statement, words []string) (*result, error) {
-	if !x.tx.block {
-		return nil, failure(codeNoTransaction, "%s can only be used in transaction blocks", words[0])
+	if !x.tx.inBlock {
+		return nil, sqlErrorf(codeNoTransaction, "%s can only be used in transaction blocks", words[0])
 	}
 	if words[0] != verbSavepoint && !x.tx.savepoints {
-		return nil, failure(codeNoSavepoint, "savepoint does not exist")
+		return nil, sqlErrorf(codeNoSavepoint, "savepoint does not exist")
 	}
 	if x.tx.write != nil {
 		if err := x.tx.write.savepoint(ctx, s); err != nil {
@@ -217,12 +217,12 @@
 	return &result{tag: words[0]}, nil
 }
 
-// data runs a statement of the storage. Outside a write transaction it is
-// tried as a read of committed data first: SQLite itself says if it writes.
-func (x *session) data(ctx context.Context, s Statement) (*result, error) {
+// runData runs a statement in the storage. Outside a write transaction it first tries the statement
+// as a read of committed data: SQLite reports whether the statement writes.
+func (x *session) runData(ctx context.Context, s Statement) (*result, error) {
 	if x.tx.write == nil {
 		res, err := x.readData(ctx, s)
-		if !isReadOnly(err) || x.tx.block {
+		if !isReadOnly(err) || x.tx.inBlock {
 			return res, err
 		}
 		if err := x.beginWrite(ctx); err != nil {
@@ -230,7 +230,7 @@
 		}
 	}
 	x.tx.record.addStatement(s)
-	release, err := x.slot(ctx)
+	release, err := x.acquireSlot(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -239,37 +239,37 @@
 }
 
 func (x *session) readData(ctx context.Context, s Statement) (*result, error) {
-	release, err := x.slot(ctx)
+	release, err := x.acquireSlot(ctx)
 	if err != nil {
 		return nil, err
 	}
 	defer release()
-	return onStore(x.srv.node, func(e *engine) (*result, error) { return e.read(ctx, s) })
+	return readStorage(x.srv.node, func(e *engine) (*result, error) { return e.read(ctx, s) })
 }
 
-// onStore reads from the present storage, and again from the one that replaced
-// it if a rewind came in between: a reader must not notice it.
-func onStore[T any](n *node, read func(*engine) (T, error)) (T, error) {
+// readStorage reads from the current storage. If a rewind has replaced the storage in between, it
+// reads again from the new one, so that a client does not see the replacement as an error.
+func readStorage[T any](n *node, read func(*engine) (T, error)) (T, error) {
 	for {
-		v, err := read(n.store())
+		v, err := read(n.storage())
 		if !errors.Is(err, errClosed) || n.isStopped() {
 			return v, err
 		}
 	}
 }
 
-// slot waits for one of the few places of running statements, then spends the
-// time that a statement takes. Whoever waits for the write lock holds no slot,
-// so that its owner always gets on.
-func (x *session) slot(ctx context.Context) (func(), error) {
+// acquireSlot waits for a statement slot, then for the simulated time of the statement, and returns
+// the function that releases the slot. A session that waits for the write lock holds no slot, so
+// that the lock's owner can always proceed.
+func (x *session) acquireSlot(ctx context.Context) (func(), error) {
 	select {
 	case x.srv.slots <- struct{}{}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	cost := x.srv.opts.StatementCost
-	if slow := x.srv.faults.slowness(); slow > 1 {
-		cost = time.Duration(float64(max(cost, slowMinimum)) * slow)
+	if slow := x.srv.faults.slowFactor(); slow > 1 {
+		cost = time.Duration(float64(max(cost, minSlowedCost)) * slow)
 	}
 	if cost > 0 {
 		wait.For(ctx, cost)
--- a/internal/standin/dbd/utility.go
+++ b/internal/standin/dbd/utility.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// utility handles the statements that concern the session only.
+// utility runs the statements that affect only the session. Its last result is false for others.
 func (x *session) utility(text string, words []string) (*result, error, bool) {
 	switch words[0] {
 	case verbSet:
@@ -18,8 +18,8 @@
 		clear(x.statements)
 		return &result{tag: strings.Join(words, " ")}, nil, true
 	case verbDiscard:
-		if x.tx.block {
-			return nil, failure(codeActiveTransaction, "DISCARD ALL cannot run inside a transaction block"), true
+		if x.tx.inBlock {
+			return nil, sqlErrorf(codeActiveTransaction, "DISCARD ALL cannot run inside a transaction block"), true
 		}
 		clear(x.statements)
 		clear(x.portals)
@@ -27,7 +27,7 @@
 		return &result{tag: "DISCARD ALL"}, nil, true
 	case verbCreate:
 		if len(words) > 1 && strings.HasPrefix(words[1], "TEMP") {
-			return nil, failure(codeNotSupported, "temporary tables are not supported"), true
+			return nil, sqlErrorf(codeNotSupported, "temporary tables are not supported"), true
 		}
 		return nil, nil, false
 	default:
--- a/internal/standin/dbd/value.go
+++ b/internal/standin/dbd/value.go
@@ -4,8 +4,7 @@
 	"strings"
 )
 
-// Value is one parameter of a logged statement. At most one field is set; none
-// means NULL.
+// Value is one parameter of a statement in the log. At most one field is set; none means NULL.
 type Value struct {
 	Text  *string  `json:"text,omitempty"`
 	Int   *int64   `json:"int,omitempty"`
@@ -19,8 +18,8 @@
 	Args []Value `json:"args,omitempty"`
 }
 
-// native returns v as database/sql takes it.
-func (v Value) native() any {
+// driverValue returns v as an argument for database/sql.
+func (v Value) driverValue() any {
 	switch {
 	case v.Text != nil:
 		return *v.Text
@@ -41,7 +40,7 @@
 	case v.Text != nil:
 		return *v.Text
 	case v.Int != nil, v.Float != nil:
-		return sprint(v.native())
+		return sprint(v.driverValue())
 	case v.Blob != nil:
 		return "(bytes)"
 	default:
@@ -49,15 +48,15 @@
 	}
 }
 
-func natives(args []Value) []any {
+func driverArgs(args []Value) []any {
 	out := make([]any, len(args))
 	for i, a := range args {
-		out[i] = a.native()
+		out[i] = a.driverValue()
 	}
 	return out
 }
 
-// summaryLimit bounds what is kept of a transaction for people, in bytes.
+// summaryLimit bounds the summary of statements, in bytes.
 const summaryLimit = 256
 
 // summarize returns the statements and parameters as one short line.
@@ -75,7 +74,7 @@
 	return truncate(b.String(), summaryLimit)
 }
 
-// truncate cuts s to at most n bytes, never within a character.
+// truncate returns at most the first n bytes of s, without a partial character at the end.
 func truncate(s string, n int) string {
 	if len(s) <= n {
 		return s
--- a/internal/standin/dbd/words.go
+++ b/internal/standin/dbd/words.go
@@ -9,8 +9,8 @@
 	sqlite3 "modernc.org/sqlite/lib"
 )
 
-// The server does not parse SQL. It needs the first words of a statement, for
-// transaction control and command tags, and the highest parameter number.
+// The server does not parse SQL. It only extracts the first words of a statement, for transaction
+// control and command tags, the request tag and the highest parameter number.
 var (
 	leadingComments = regexp.MustCompile(`^(?:\s+|/\*(?s:.*?)\*/|--[^\n]*(?:\n|$))+`)
 	tagComment      = regexp.MustCompile(`^\s*/\*endivemoor\s+(.*?)\*/`)
@@ -18,8 +18,8 @@
 	word            = regexp.MustCompile(`[A-Za-z_]+`)
 )
 
-// bare returns s without leading white space and comments.
-func bare(s string) string {
+// trimComments returns s without leading white space and comments.
+func trimComments(s string) string {
 	return leadingComments.ReplaceAllString(s, "")
 }
 
@@ -34,15 +34,15 @@
 
 // leadingWords returns up to n first words of a statement in upper case.
 func leadingWords(s string, n int) []string {
-	words := word.FindAllString(truncate(bare(s), summaryLimit), n)
+	words := word.FindAllString(truncate(trimComments(s), summaryLimit), n)
 	for i, w := range words {
 		words[i] = strings.ToUpper(w)
 	}
 	return words
 }
 
-// tagOf returns the content of a leading endivemoor comment, or "".
-func tagOf(s string) string {
+// requestTag returns the content of a leading endivemoor comment, or "".
+func requestTag(s string) string {
 	m := tagComment.FindStringSubmatch(s)
 	if m == nil {
 		return ""
@@ -61,23 +61,23 @@
 	return highest
 }
 
-// split cuts a simple query into its statements. SQLite decides where one is
-// complete, so that a semicolon in a literal or a comment does not cut.
+// split splits a simple query into its statements. SQLite determines where a statement is complete,
+// so that a semicolon in a literal or a comment does not end it.
 func split(s string) []string {
 	var out []string
 	for {
-		cut := completeAt(s)
-		if cut < 0 {
+		end := completeAt(s)
+		if end < 0 {
 			break
 		}
-		out = appendStatement(out, s[:cut])
-		s = s[cut:]
+		out = appendStatement(out, s[:end])
+		s = s[end:]
 	}
 	return appendStatement(out, s)
 }
 
 func appendStatement(out []string, s string) []string {
-	if strings.Trim(bare(s), "; \t\r\n") == "" {
+	if strings.Trim(trimComments(s), "; \t\r\n") == "" {
 		return out
 	}
 	return append(out, s)
--- a/internal/standin/dbd/writetx.go
+++ b/internal/standin/dbd/writetx.go
@@ -9,10 +9,10 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// writeTx is an open write transaction in an engine's head.
+// writeTx is a write transaction in the head database of an engine.
 type writeTx struct {
 	engine *engine
-	// term is the primary's term at the beginning.
+	// term is the primary's term at BEGIN.
 	term timeline.Term
 	// written lists the statements that write, in order.
 	written []Statement
@@ -28,12 +28,11 @@
 	tx := &writeTx{engine: e, term: term}
 	e.headMu.Lock()
 	defer e.headMu.Unlock()
-	// Statements start out as reads: one that writes fails at first, before it
-	// has any effect, and is thereby known to belong in the log.
+	// Each statement is first run read-only. A statement that writes fails before it has any effect,
+	// which marks it as one for the log.
 	if err := execAll(ctx, e.head, "BEGIN IMMEDIATE", "PRAGMA query_only=1"); err != nil {
-		// A caller that gave up between the two would leave the storage inside
-		// a transaction that nobody owns, or read-only, and neither a writer nor
-		// replication would ever get on.
+		// A cancellation between the two statements would leave head inside a transaction without
+		// an owner, or read-only, and block all writers and replication permanently.
 		_ = execAll(context.WithoutCancel(ctx), e.head, "PRAGMA query_only=0", "ROLLBACK")
 		<-e.writeLock
 		if errors.Is(err, sql.ErrConnDone) {
@@ -70,8 +69,8 @@
 	return res, err
 }
 
-// savepoint runs a SAVEPOINT, RELEASE or ROLLBACK TO statement. It is logged,
-// so that a replay takes back the same part.
+// savepoint runs a SAVEPOINT, RELEASE or ROLLBACK TO statement. The log includes it, so that a
+// replay rolls back the same statements.
 func (tx *writeTx) savepoint(ctx context.Context, s Statement) error {
 	e := tx.engine
 	e.headMu.Lock()
@@ -86,7 +85,7 @@
 	return nil
 }
 
-// commit makes the transaction durable in head, then visible in committed.
+// commit commits the transaction in head, then replays it into committed, where reads see it.
 func (tx *writeTx) commit() error {
 	ctx := context.Background()
 	e := tx.engine
@@ -104,21 +103,21 @@
 	return e.replayCommitted(ctx, tx.written)
 }
 
-// rollback ends the transaction without effect. It may be called again.
+// rollback rolls back the transaction. It may be called more than once.
 func (tx *writeTx) rollback() {
 	tx.engine.headMu.Lock()
 	defer tx.engine.headMu.Unlock()
 	tx.engine.release(tx)
 }
 
-// evict rolls the open write transaction back, whoever runs it.
+// evict rolls back the open write transaction, if there is one, whichever session runs it.
 func (e *engine) evict() {
 	e.headMu.Lock()
 	defer e.headMu.Unlock()
 	e.release(e.owner)
 }
 
-// release rolls tx back and gives up the write lock, if tx holds it.
+// release rolls back tx and releases the write lock, if tx holds it.
 func (e *engine) release(tx *writeTx) {
 	if tx == nil || e.owner != tx {
 		return
