--- a/admission/limiter/limiter.go
+++ b/admission/limiter/limiter.go
@@ -33,7 +33,7 @@
 	Clock clock.Clock
 	// FleetSize returns the number of live VMs that use the targets. If it is nil, this VM is
 	// assumed to be the only one.
-	Fleet func() int
+	FleetSize func() int
 	// Recorder may be nil.
 	Recorder Recorder
 }
@@ -119,8 +119,8 @@
 func (g *gate) acquire(ctx context.Context, k *profile.Kind, deadline clock.Time) (func(), *outcome.Error) {
 	now := g.cfg.Clock.Now()
 	g.mu.Lock()
-	if g.cfg.Fleet != nil {
-		g.queue.SetFleet(g.cfg.Fleet())
+	if g.cfg.FleetSize != nil {
+		g.queue.SetFleetSize(g.cfg.FleetSize())
 	}
 	g.expire(now)
 	offer := g.queue.Offer(now, k, deadline)
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -60,7 +60,7 @@
 
 // SetFleetSize sets the number of live VMs that use the target, at least 1. Before the first call,
 // the Queue assumes that no other VM uses the target.
-func (q *Queue) SetFleet(vms int) { q.slots.share(vms) }
+func (q *Queue) SetFleetSize(vms int) { q.slots.share(vms) }
 
 // Offer submits a new request of kind k, whose caller waits until deadline.
 func (q *Queue) Offer(now clock.Time, k *profile.Kind, deadline clock.Time) Offered {
--- a/audit/log/log.go
+++ b/audit/log/log.go
@@ -150,7 +150,7 @@
 		// A later writer only adds to the segment, so the write took effect if the segment contains
 		// its entries. They are compared by ID, because a concurrent command may have recorded the
 		// same act.
-		Mine: func(o store.Object) bool {
+		IsOwn: func(o store.Object) bool {
 			s, err := decode(o, last.Number)
 			return err == nil && s.hasAll(entries[len(last.Entries):]) && !l.guards.Out(GuardReadBack)
 		},
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -91,7 +91,7 @@
 
 func (c *Configuration) parse(p Published) (*profile.Set, error) {
 	if profile.Digest(p.Text) != p.Digest {
-		return nil, finding.Findings{{Message: "digest of the received profile text differs from the published digest", Mend: "publish the profiles again"}}
+		return nil, finding.Findings{{Message: "digest of the received profile text differs from the published digest", Repair: "publish the profiles again"}}
 	}
 	set, found := inifile.Parse("published", p.Text)
 	if err := found.Err(); err != nil {
--- a/ctl/groups.go
+++ b/ctl/groups.go
@@ -123,7 +123,7 @@
 	if err := r.requireTarget(target.ID(c.Target)); err != nil {
 		return err
 	}
-	m, err := r.drains().Drain(r.ctx, drainstore.Order{Target: target.ID(c.Target), Actor: by.Actor, Reason: by.Reason, Grace: c.Grace})
+	m, err := r.drains().Drain(r.ctx, drainstore.Request{Target: target.ID(c.Target), Actor: by.Actor, Reason: by.Reason, Grace: c.Grace})
 	if err != nil {
 		return err
 	}
@@ -151,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	m, err := r.drains().Undrain(r.ctx, drainstore.Order{Target: target.ID(c.Target), Actor: by.Actor, Reason: by.Reason})
+	m, err := r.drains().Undrain(r.ctx, drainstore.Request{Target: target.ID(c.Target), Actor: by.Actor, Reason: by.Reason})
 	if err != nil {
 		return err
 	}
--- a/ctl/killed_test.go
+++ b/ctl/killed_test.go
@@ -76,7 +76,7 @@
 	t.Helper()
 	ctx := context.Background()
 	first := reviewedDraft(t, p, "aoife", "[shop]\n[shop.pay]\nworth = 2\n")
-	_, err := pubstore.New(p, time.Now).Publish(ctx, pubstore.By{Actor: "aoife", Reason: "first"}, first)
+	_, err := pubstore.New(p, time.Now).Publish(ctx, pubstore.Attribution{Actor: "aoife", Reason: "first"}, first)
 	require.NoError(t, err)
 	return reviewedDraft(t, p, "aoife", "[shop]\n[shop.pay]\nworth = 3\n")
 }
@@ -86,9 +86,9 @@
 	t.Helper()
 	ctx := context.Background()
 	s := pubstore.New(p, time.Now)
-	d, _, err := s.Create(ctx, pubstore.By{Actor: author, Reason: "change"}, "f.ini", []byte(text))
+	d, _, err := s.Create(ctx, pubstore.Attribution{Actor: author, Reason: "change"}, "f.ini", []byte(text))
 	require.NoError(t, err)
-	_, err = s.Review(ctx, pubstore.By{Actor: "brian", Reason: "read"}, d.ID, nil)
+	_, err = s.Review(ctx, pubstore.Attribution{Actor: "brian", Reason: "read"}, d.ID, nil)
 	require.NoError(t, err)
 	return d.ID
 }
--- a/ctl/profile.go
+++ b/ctl/profile.go
@@ -35,7 +35,7 @@
 	for _, path := range c.Files {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			all = append(all, finding.Finding{File: path, Message: err.Error(), Mend: "name a file that can be read"})
+			all = append(all, finding.Finding{File: path, Message: err.Error(), Repair: "name a file that can be read"})
 			continue
 		}
 		_, found := inifile.Parse(path, text)
@@ -249,7 +249,7 @@
 	return recordInfo{
 		Generation: p.Generation, Digest: p.Digest, State: state, Draft: p.Draft,
 		Author: p.Author, Reviewer: p.Reviewer, Publisher: p.Publisher,
-		Published: p.Published.Format(timeFormat), Reason: p.Act.Reason, Accepted: p.Accepted,
+		Published: p.Published.Format(timeFormat), Reason: p.Entry.Reason, Accepted: p.Accepted,
 	}
 }
 
--- a/ctl/runner.go
+++ b/ctl/runner.go
@@ -47,14 +47,14 @@
 func (r *runner) trail() *auditlog.Log      { return auditlog.New(r.platform) }
 
 // requireActor returns the actor and the reason of a change, and an error if either is missing.
-func (r *runner) requireActor(reason string) (pubstore.By, error) {
+func (r *runner) requireActor(reason string) (pubstore.Attribution, error) {
 	if r.actor == "" {
-		return pubstore.By{}, &inputError{message: "name who acts by --actor or ENDIVEMOOR_ACTOR"}
+		return pubstore.Attribution{}, &inputError{message: "name who acts by --actor or ENDIVEMOOR_ACTOR"}
 	}
 	if strings.TrimSpace(reason) == "" {
-		return pubstore.By{}, &inputError{message: "give a --reason"}
+		return pubstore.Attribution{}, &inputError{message: "give a --reason"}
 	}
-	return pubstore.By{Actor: r.actor, Reason: reason}, nil
+	return pubstore.Attribution{Actor: r.actor, Reason: reason}, nil
 }
 
 // print writes v as JSON, or calls text for the text output.
--- a/ctl/spending.go
+++ b/ctl/spending.go
@@ -19,7 +19,7 @@
 
 // Run prints the table.
 func (c *spendingCommand) Run(r *runner) error {
-	summary := spending.NewAccount()
+	summary := spending.NewSummary()
 	for _, path := range c.Logs {
 		if err := readSpending(summary, path); err != nil {
 			return err
@@ -29,7 +29,7 @@
 	return r.print(rows, func(w io.Writer) { printSpending(w, rows) })
 }
 
-func readSpending(summary *spending.Account, path string) error {
+func readSpending(summary *spending.Summary, path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return errors.Wrap(err, "log")
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -90,9 +90,9 @@
 
 func (d *daemon) newLimiter() *limiter.Limiter {
 	return limiter.New(limiter.Config{
-		Queue: admission.Config{Slots: d.set.Targets.Slots, MaxQueued: maxQueued, Seed: newRand().Uint64()},
-		Clock: d.clk,
-		Fleet: func() int { return d.views.Load().FleetSize },
+		Queue:     admission.Config{Slots: d.set.Targets.Slots, MaxQueued: maxQueued, Seed: newRand().Uint64()},
+		Clock:     d.clk,
+		FleetSize: func() int { return d.views.Load().FleetSize },
 	})
 }
 
--- a/daemon/command.go
+++ b/daemon/command.go
@@ -102,7 +102,7 @@
 	for _, path := range c.Settings {
 		raw, err := os.ReadFile(path)
 		if err != nil {
-			all = append(all, finding.Finding{File: path, Message: err.Error(), Mend: "name a readable file"})
+			all = append(all, finding.Finding{File: path, Message: err.Error(), Repair: "name a readable file"})
 			continue
 		}
 		_, found := settings.Parse(path, raw)
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -75,7 +75,7 @@
 	// connections that are between two transactions.
 	RefuseNew Action = "refuse-new"
 	// AbortRemaining aborts the work in flight. Its callers receive the outcome "unknown".
-	CutRest Action = "cut-rest"
+	AbortRemaining Action = "cut-rest"
 	// Finish closes the remaining sessions and connections. Nothing is in flight.
 	Finish Action = "finish"
 	// Resume accepts work again.
@@ -160,5 +160,5 @@
 		return nil
 	}
 	d.phase = PhaseDone
-	return []Action{CutRest, Finish}
+	return []Action{AbortRemaining, Finish}
 }
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -30,7 +30,7 @@
 	require.True(t, ok)
 	require.Equal(t, at(3*time.Second), ends)
 	require.Empty(t, d.Step(ends-1, Tick{}))
-	require.Equal(t, []Action{CutRest, Finish}, d.Step(ends, Tick{}))
+	require.Equal(t, []Action{AbortRemaining, Finish}, d.Step(ends, Tick{}))
 	require.Empty(t, d.Step(ends, Cancel{}))
 }
 
--- a/drain/store/store.go
+++ b/drain/store/store.go
@@ -41,7 +41,7 @@
 	// Ending marks are deleted as soon as their audit entry is recorded.
 	Ending bool `json:"ending,omitempty"`
 	// Entry is the audit entry of the last change of this mark.
-	Act auditlog.Pending `json:"act"`
+	Entry auditlog.Pending `json:"act"`
 	// Recorded reports whether the entry is known to be in the audit trail.
 	Recorded bool `json:"recorded"`
 }
@@ -91,7 +91,7 @@
 }
 
 // Request is an operator's request to drain a target or to end its drain.
-type Order struct {
+type Request struct {
 	Target target.ID
 	Actor  string
 	Reason string
@@ -100,7 +100,7 @@
 }
 
 // Drain marks the target as draining.
-func (s *Store) Drain(ctx context.Context, r Order) (Mark, error) {
+func (s *Store) Drain(ctx context.Context, r Request) (Mark, error) {
 	present, version, err := s.begin(ctx, r.Target)
 	if err != nil {
 		return Mark{}, err
@@ -112,12 +112,12 @@
 	if err != nil {
 		return Mark{}, err
 	}
-	m := Mark{Target: r.Target, Since: entry.Time, GraceMS: r.Grace.Milliseconds(), Reason: r.Reason, Actor: r.Actor, Act: entry}
+	m := Mark{Target: r.Target, Since: entry.Time, GraceMS: r.Grace.Milliseconds(), Reason: r.Reason, Actor: r.Actor, Entry: entry}
 	return m, s.write(ctx, m, version)
 }
 
 // Undrain ends the drain of the target.
-func (s *Store) Undrain(ctx context.Context, r Order) (Mark, error) {
+func (s *Store) Undrain(ctx context.Context, r Request) (Mark, error) {
 	present, version, err := s.begin(ctx, r.Target)
 	if err != nil {
 		return Mark{}, err
@@ -130,7 +130,7 @@
 		return Mark{}, err
 	}
 	m := *present
-	m.Ending, m.Act, m.Recorded = true, entry, false
+	m.Ending, m.Entry, m.Recorded = true, entry, false
 	return m, s.write(ctx, m, version)
 }
 
@@ -179,7 +179,7 @@
 	return m, o.Version, errors.Wrapf(json.Unmarshal(o.Value, m), "mark %s", o.Key)
 }
 
-func (s *Store) newEntry(ctx context.Context, r Order, action audit.Action, from, to string) (auditlog.Pending, error) {
+func (s *Store) newEntry(ctx context.Context, r Request, action audit.Action, from, to string) (auditlog.Pending, error) {
 	since, err := s.log.Last(ctx)
 	var id [idBytes]byte
 	_, _ = rand.Read(id[:])
@@ -198,9 +198,9 @@
 	}
 	r, err := readback.Put(ctx, s.platform, readback.Write{
 		Purpose: store.PurposeDrain, Key: Prefix + string(m.Target), Value: value, Expect: expect, Pause: s.pause,
-		Mine: func(o store.Object) bool {
+		IsOwn: func(o store.Object) bool {
 			var present Mark
-			return json.Unmarshal(o.Value, &present) == nil && present.Act.ID == m.Act.ID
+			return json.Unmarshal(o.Value, &present) == nil && present.Entry.ID == m.Entry.ID
 		},
 	})
 	switch r.Outcome {
@@ -220,7 +220,7 @@
 // another command settled or ended before the lost answer could be read back. The entry of the latter
 // is in the audit trail, because no command changes a mark before its entry is recorded.
 func (s *Store) resolveLost(ctx context.Context, m Mark, seen store.Object) error {
-	recorded, err := s.log.Has(ctx, m.Act)
+	recorded, err := s.log.Has(ctx, m.Entry)
 	if err != nil {
 		return &UnknownError{Target: m.Target, Cause: err}
 	}
@@ -247,8 +247,8 @@
 	if m.Recorded && !m.Ending {
 		return nil
 	}
-	if m.Act.ID != "" && !m.Recorded {
-		if err := s.log.Append(ctx, m.Act); err != nil {
+	if m.Entry.ID != "" && !m.Recorded {
+		if err := s.log.Append(ctx, m.Entry); err != nil {
 			return err
 		}
 	}
--- a/drain/store/store_test.go
+++ b/drain/store/store_test.go
@@ -13,7 +13,7 @@
 	"endivemoor.example/endivemoor/store"
 )
 
-var request = Order{Target: "ledger-0-a", Actor: "aoife", Reason: "new disk", Grace: 10 * time.Second}
+var request = Request{Target: "ledger-0-a", Actor: "aoife", Reason: "new disk", Grace: 10 * time.Second}
 
 func open(p store.Store) *Store {
 	s := New(p, func() time.Time { return time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC) })
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		return errors.Wrap(err, "log level")
 	}
-	out := logging.NewBounded(os.Stdout)
+	out := logging.NewBoundedWriter(os.Stdout)
 	defer out.Close()
 	log := logging.New(out, zap.NewAtomicLevelAt(minLevel)).With(zap.String("vm", settings.Node), zap.String("zone", settings.Zone))
 	if settings.Limits.MemoryMB > 0 {
@@ -147,13 +147,13 @@
 	e.meter = spending.NewMeter(e.metrics)
 	e.eras = newEras(log, clk, e.metrics)
 	e.store = objects.New(settings.Platform.Addr, newTransport(e.dialFor(spending.Store)))
-	e.store.Observe = func(kind string, v objects.Verb) { e.meter.Called(kind, string(v)) }
+	e.store.Observe = func(kind string, v objects.Verb) { e.meter.RecordCall(kind, string(v)) }
 	e.store.ObserveEra = e.eras.record
 	e.pool = lane.NewPool(e.clk, e.dialer)
 	e.gossip = newGossiper(e)
 	e.groups = groups.NewRegistry(groups.Config{
 		Catalog: e.catalog, Control: controlClient{e}, Clock: e.clk, Decode: line.ParseStatus, Records: leadershipRecords{e},
-		Eligible: e.gossip.eligible, OnCommand: e.meter.Asked, DrainTimeout: leaveAfter(settings), Log: log,
+		Eligible: e.gossip.eligible, OnCommand: e.meter.RecordQuery, DrainTimeout: leaveAfter(settings), Log: log,
 		Era: e.eras.current,
 	})
 	e.limits = newLimits(e)
--- a/edge/metering.go
+++ b/edge/metering.go
@@ -16,9 +16,9 @@
 	case "":
 		return spending.Unknown
 	case e.settings.Zone:
-		return spending.Near
+		return spending.SameZone
 	default:
-		return spending.Far
+		return spending.CrossZone
 	}
 }
 
--- a/finding/finding.go
+++ b/finding/finding.go
@@ -40,7 +40,7 @@
 	Severity Severity `json:"severity"`
 	Message  string   `json:"message"`
 	// Repair is an instruction that resolves the finding.
-	Mend string `json:"mend,omitempty"`
+	Repair string `json:"mend,omitempty"`
 }
 
 // String returns one line: "file:7: [section] key: error: message; repair".
@@ -60,8 +60,8 @@
 		fmt.Fprintf(&b, "%s: ", f.Key)
 	}
 	fmt.Fprintf(&b, "%s: %s", f.Severity, f.Message)
-	if f.Mend != "" {
-		b.WriteString("; " + f.Mend)
+	if f.Repair != "" {
+		b.WriteString("; " + f.Repair)
 	}
 	return b.String()
 }
--- a/finding/finding_test.go
+++ b/finding/finding_test.go
@@ -17,7 +17,7 @@
 func TestSortAndText(t *testing.T) {
 	fs := Findings{
 		{File: "b.ini", Message: "last"},
-		{File: "a.ini", Line: 9, Section: "shop", Key: "worth", Message: "too high", Mend: "lower it"},
+		{File: "a.ini", Line: 9, Section: "shop", Key: "worth", Message: "too high", Repair: "lower it"},
 		{File: "a.ini", Line: 2, Section: "shop", Severity: Warning, Message: "odd"},
 	}
 	fs.Sort()
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -263,9 +263,9 @@
 }
 
 // struck returns what a server's faults held back.
-func (s *server) struck(t *testing.T) dbd.Struck {
+func (s *server) struck(t *testing.T) dbd.FaultHits {
 	t.Helper()
-	var v dbd.Struck
+	var v dbd.FaultHits
 	getJSON(t, "http://"+s.control+"/fault", &v)
 	return v
 }
--- a/internal/experiment/load/world.go
+++ b/internal/experiment/load/world.go
@@ -91,7 +91,7 @@
 		cfg.Slots, cfg.FixedSlots = (slots+fleet-1)/fleet, true
 	}
 	q := admission.NewQueue(cfg)
-	q.SetFleet(fleet)
+	q.SetFleetSize(fleet)
 	return &proxy{queue: q, waiting: make(map[admission.Ticket]*request)}
 }
 
--- a/internal/inidoc/load.go
+++ b/internal/inidoc/load.go
@@ -11,7 +11,7 @@
 )
 
 // MaxFileBytes is the size of the largest file that is read.
-const MaxText = 256 << 10
+const MaxFileBytes = 256 << 10
 
 // maxUnparsableLines limits the unparsable lines reported for one file.
 const maxUnparsableLines = 20
@@ -42,8 +42,8 @@
 // one report covers the whole file.
 func Load(file string, text []byte) *Document {
 	d := &Document{File: file}
-	if len(text) > MaxText {
-		d.report(finding.Finding{Message: fmt.Sprintf("file has %d bytes, at most %d are read", len(text), MaxText), Mend: "split it or remove what is not used"})
+	if len(text) > MaxFileBytes {
+		d.report(finding.Finding{Message: fmt.Sprintf("file has %d bytes, at most %d are read", len(text), MaxFileBytes), Repair: "split it or remove what is not used"})
 		return d
 	}
 	lines := bytes.Split(bytes.Clone(text), []byte("\n"))
@@ -62,7 +62,7 @@
 			return parsed
 		}
 		n := unparsableLine(lines, err)
-		d.report(finding.Finding{Line: n, Message: strings.TrimSpace(err.Error()), Mend: "write [section], key = value or # comment"})
+		d.report(finding.Finding{Line: n, Message: strings.TrimSpace(err.Error()), Repair: "write [section], key = value or # comment"})
 		if n == 0 {
 			return nil
 		}
@@ -152,7 +152,7 @@
 
 // Report adds a finding that belongs to no section.
 func (d *Document) Report(message, repair string) {
-	d.report(finding.Finding{Message: message, Mend: repair})
+	d.report(finding.Finding{Message: message, Repair: repair})
 }
 
 // Finish adds a finding for every key that no accessor read, and returns all findings sorted.
--- a/internal/inidoc/section.go
+++ b/internal/inidoc/section.go
@@ -29,7 +29,7 @@
 }
 
 // IsDefault reports whether the section contains the keys before the first header.
-func (s *Section) IsOutside() bool { return s.Name == defaultSection }
+func (s *Section) IsDefault() bool { return s.Name == defaultSection }
 
 // Has reports whether the key is present.
 func (s *Section) Has(key string) bool {
@@ -65,10 +65,10 @@
 		line = e.line
 	}
 	name := s.Name
-	if s.IsOutside() {
+	if s.IsDefault() {
 		name, line = "", s.firstLine()
 	}
-	s.doc.report(finding.Finding{Section: name, Key: key, Line: line, Severity: severity, Message: message, Mend: repair})
+	s.doc.report(finding.Finding{Section: name, Key: key, Line: line, Severity: severity, Message: message, Repair: repair})
 }
 
 // firstLine returns the line of the first key, because a section without a header has no line of
--- a/internal/load/spread.go
+++ b/internal/load/spread.go
@@ -104,18 +104,18 @@
 		return 0, time.Time{}, err
 	}
 	text = grace.ReplaceAll(text, fmt.Appendf(nil, "drain-grace = %ds", 6+n%20))
-	draft, found, err := profiles.Create(ctx, store.By{Actor: "aoife", Reason: "measure"}, "spread.ini", text)
+	draft, found, err := profiles.Create(ctx, store.Attribution{Actor: "aoife", Reason: "measure"}, "spread.ini", text)
 	if err == nil {
 		err = found.Err()
 	}
 	if err != nil {
 		return 0, time.Time{}, errors.Wrap(err, "draft")
 	}
-	if _, err = profiles.Review(ctx, store.By{Actor: "brendan", Reason: "measure"}, draft.ID, nil); err != nil {
+	if _, err = profiles.Review(ctx, store.Attribution{Actor: "brendan", Reason: "measure"}, draft.ID, nil); err != nil {
 		return 0, time.Time{}, errors.Wrap(err, "review")
 	}
 	begin := time.Now()
-	done, err := profiles.Publish(ctx, store.By{Actor: "aoife", Reason: "measure"}, draft.ID)
+	done, err := profiles.Publish(ctx, store.Attribution{Actor: "aoife", Reason: "measure"}, draft.ID)
 	if err != nil {
 		return 0, begin, errors.Wrap(err, "publish")
 	}
--- a/internal/standin/dbd/controlhttp.go
+++ b/internal/standin/dbd/controlhttp.go
@@ -22,7 +22,7 @@
 func (s *Server) ControlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /fault", s.serveFault)
-	mux.HandleFunc("GET /fault", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.faults.Struck()) })
+	mux.HandleFunc("GET /fault", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.faults.Hits()) })
 	mux.HandleFunc("GET /executions", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Executions()) })
 	mux.HandleFunc("GET /entries", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Entries()) })
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Status()) })
@@ -81,7 +81,7 @@
 		return errors.Errorf("unknown direction %q", direction)
 	}
 	if selector == "" {
-		selector = Everybody
+		selector = AllConnections
 	}
 	s.faults.Cut(selector, d)
 	return nil
--- a/internal/standin/dbd/failure_test.go
+++ b/internal/standin/dbd/failure_test.go
@@ -42,7 +42,7 @@
 		_, err := client.Exec(context.Background(), "COMMIT")
 		answer <- err
 	}()
-	eventually(t, func() bool { return a.Faults().Struck().Requests > 0 }, "the cut holds back COMMIT")
+	eventually(t, func() bool { return a.Faults().Hits().Requests > 0 }, "the cut holds back COMMIT")
 	_, err := a.node.fence(2)
 	require.NoError(t, err)
 	a.Faults().Heal()
--- a/internal/standin/dbd/faults.go
+++ b/internal/standin/dbd/faults.go
@@ -25,7 +25,7 @@
 // application_name.
 const (
 	// AllConnections selects each connection, also before its startup message.
-	Everybody = "*"
+	AllConnections = "*"
 	// Peers selects the connections of replicas and this server's own replication.
 	Peers = "peers"
 	// Callers selects each connection that is not a peer's, from its startup message on.
@@ -37,7 +37,7 @@
 
 // FaultHits counts the operations that faults held back. A test uses it to make sure that a fault
 // took effect.
-type Struck struct {
+type FaultHits struct {
 	// Requests and Answers count reads from and writes to connections.
 	Requests int `json:"requests"`
 	Answers  int `json:"answers"`
@@ -50,7 +50,7 @@
 // Faults holds the active faults of one server. All methods are safe for concurrent use.
 type Faults struct {
 	mu      sync.Mutex
-	hits    Struck
+	hits    FaultHits
 	frozen  bool
 	cuts    map[string]Direction
 	slow    float64
@@ -86,7 +86,7 @@
 func (f *Faults) SetReplicationDelay(d time.Duration) { f.change(func() { f.delay = d }) }
 
 // Hits returns how many operations were held back since the start.
-func (f *Faults) Struck() Struck {
+func (f *Faults) Hits() FaultHits {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.hits
@@ -129,7 +129,7 @@
 func selects(selector, application string) bool {
 	peer := strings.HasPrefix(application, PeerApplication)
 	switch selector {
-	case Everybody:
+	case AllConnections:
 		return true
 	case Peers:
 		return peer
--- a/internal/standin/dbd/limits_test.go
+++ b/internal/standin/dbd/limits_test.go
@@ -79,7 +79,7 @@
 	a.Faults().Cut(Callers, Answers)
 	done := make(chan error, 1)
 	go func() { done <- c.Ping(context.Background()) }()
-	eventually(t, func() bool { return a.Faults().Struck().Answers > 0 }, "the answer is held back")
+	eventually(t, func() bool { return a.Faults().Hits().Answers > 0 }, "the answer is held back")
 	a.Faults().Heal()
 	require.NoError(t, <-done)
 }
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -18,7 +18,7 @@
 
 // BoundedWriter is a writer that never blocks its caller. Lines beyond its limits are dropped and
 // counted, and the count is written once there is room again.
-type Bounded struct {
+type BoundedWriter struct {
 	out        io.Writer
 	lines      chan []byte
 	suppressed atomic.Int64
@@ -30,15 +30,15 @@
 }
 
 // NewBoundedWriter returns a BoundedWriter in front of out.
-func NewBounded(out io.Writer) *Bounded {
-	b := &Bounded{out: out, lines: make(chan []byte, queuedLines), done: make(chan struct{})}
+func NewBoundedWriter(out io.Writer) *BoundedWriter {
+	b := &BoundedWriter{out: out, lines: make(chan []byte, queuedLines), done: make(chan struct{})}
 	go b.run()
 	return b
 }
 
 // Write queues a copy of the line, or counts it as suppressed. A line written after Close is
 // dropped, because goroutines may still be ending then.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	if b.closed {
@@ -53,7 +53,7 @@
 }
 
 // Close writes the queued lines and stops the writer.
-func (b *Bounded) Close() {
+func (b *BoundedWriter) Close() {
 	b.mu.Lock()
 	b.closed = true
 	close(b.lines)
@@ -61,7 +61,7 @@
 	<-b.done
 }
 
-func (b *Bounded) run() {
+func (b *BoundedWriter) run() {
 	defer close(b.done)
 	window, written := time.Now(), 0
 	for line := range b.lines {
@@ -79,7 +79,7 @@
 	b.reportSuppressed()
 }
 
-func (b *Bounded) reportSuppressed() {
+func (b *BoundedWriter) reportSuppressed() {
 	if n := b.suppressed.Swap(0); n > 0 {
 		_, _ = fmt.Fprintf(b.out, "level=warn event=lines-suppressed count=%d\n", n)
 	}
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -24,7 +24,7 @@
 // Requests must proceed, and dropped lines must be counted.
 func TestLogNeverBlocks(t *testing.T) {
 	out := &blockedWriter{open: make(chan struct{})}
-	b := NewBounded(out)
+	b := NewBoundedWriter(out)
 	for range 3 * queuedLines {
 		_, err := b.Write([]byte("event=x\n"))
 		require.NoError(t, err)
@@ -39,7 +39,7 @@
 // with a send on a closed channel.
 func TestLinesAfterTheLogIsClosedAreDropped(t *testing.T) {
 	var out bytes.Buffer
-	b := NewBounded(&out)
+	b := NewBoundedWriter(&out)
 	var writers sync.WaitGroup
 	for range 8 {
 		writers.Go(func() {
--- a/profile/diff/diff.go
+++ b/profile/diff/diff.go
@@ -33,7 +33,7 @@
 	// ProfileDropped causes sessions that select the profile to be refused.
 	ProfileDropped Danger = "sessions of this profile are refused"
 	// DeadlineShortened causes time-outs of requests that were served before.
-	DeadlineCut Danger = "requests are given up on earlier"
+	DeadlineShortened Danger = "requests are given up on earlier"
 	// MovedToReplicas moves requests from the primary to replicas.
 	MovedToReplicas Danger = "requests move from the primary to replicas"
 	// DefaultChanged assigns another kind to untagged requests.
@@ -167,7 +167,7 @@
 	isWrite := to.Access == profile.Write
 	l.add("access", accessText(from.Access), accessText(to.Access), dangerIf(!isWrite, MovedToReplicas))
 	l.add("worth", numberText(from.Worth), numberText(to.Worth), Safe)
-	l.add("deadline", durationText(from.Deadline), durationText(to.Deadline), dangerIf(to.Deadline < from.Deadline, DeadlineCut))
+	l.add("deadline", durationText(from.Deadline), durationText(to.Deadline), dangerIf(to.Deadline < from.Deadline, DeadlineShortened))
 	l.add("max-age", durationText(from.MaxAge), durationText(to.MaxAge), dangerIf(to.MaxAge > from.MaxAge, AgeWidened))
 	l.add("idempotent", strconv.FormatBool(from.Idempotent), strconv.FormatBool(to.Idempotent), dangerIf(to.Idempotent && isWrite, BecomesIdempotent))
 	l.add("key", keyText(from.Key), keyText(to.Key), dangerIf(to.Key == profile.KeyOptional, KeyDropped))
--- a/profile/inifile/parse.go
+++ b/profile/inifile/parse.go
@@ -44,7 +44,7 @@
 func (p *parser) profiles() {
 	for _, s := range p.doc.Sections() {
 		switch {
-		case s.IsOutside():
+		case s.IsDefault():
 			s.Skip("keys stand outside of any section", "move them below a [profile] header")
 		case !strings.Contains(s.Name, "."):
 			p.profile(s)
@@ -76,7 +76,7 @@
 func (p *parser) kinds() {
 	for _, s := range p.doc.Sections() {
 		profileName, kind, ok := strings.Cut(s.Name, ".")
-		if !ok || s.IsOutside() {
+		if !ok || s.IsDefault() {
 			continue
 		}
 		parent := p.set.Profiles[profileName]
--- a/publication/draft.go
+++ b/publication/draft.go
@@ -25,7 +25,7 @@
 
 // AuditPoint is the wall-clock time of a step, and the number of the last segment of the audit log
 // at that time.
-type Mark struct {
+type AuditPoint struct {
 	Time  time.Time
 	Since int
 }
@@ -55,8 +55,8 @@
 	Review  *Review   `json:"review,omitempty"`
 	// Entries are the audit entries of the draft's steps, in order. The first Recorded of them are
 	// known to be in the audit trail.
-	Acts     []Act `json:"acts"`
-	Recorded int   `json:"recorded"`
+	Entries  []PendingEntry `json:"acts"`
+	Recorded int            `json:"recorded"`
 }
 
 // NewDraft returns a draft of text in StateDraft.
@@ -64,7 +64,7 @@
 	if err := s.check(); err != nil {
 		return Draft{}, err
 	}
-	d := Draft{ID: id, Author: s.Actor, Reason: s.Reason, Created: s.Act.Time, Text: string(text), Digest: profile.Digest(text), State: StateDraft}
+	d := Draft{ID: id, Author: s.Actor, Reason: s.Reason, Created: s.At.Time, Text: string(text), Digest: profile.Digest(text), State: StateDraft}
 	return d.record(s, audit.ProfileDrafted, "", d.Digest), nil
 }
 
@@ -106,7 +106,7 @@
 	}
 	d.State = StateReviewed
 	d.Review = &Review{
-		Reviewer: s.Actor, Reason: s.Reason, Time: s.Act.Time,
+		Reviewer: s.Actor, Reason: s.Reason, Time: s.At.Time,
 		Digest: d.Digest, Base: current.version(), Accepted: dangerousIDs(changes),
 	}
 	return d.record(s, audit.ProfileReviewed, current.version().Digest, d.Digest), nil
@@ -147,8 +147,8 @@
 	act.Reviewer = d.Review.Reviewer
 	return &Record{
 		Version: next, Text: d.Text, Draft: d.ID,
-		Author: d.Author, Reviewer: d.Review.Reviewer, Publisher: s.Actor, Published: s.Act.Time,
-		Accepted: d.Review.Accepted, Replaced: current.version(), Act: act,
+		Author: d.Author, Reviewer: d.Review.Reviewer, Publisher: s.Actor, Published: s.At.Time,
+		Accepted: d.Review.Accepted, Replaced: current.version(), Entry: act,
 	}, nil
 }
 
@@ -157,13 +157,13 @@
 	if d.Review != nil {
 		act.Reviewer = d.Review.Reviewer
 	}
-	d.Acts = append(slices.Clone(d.Acts), act)
+	d.Entries = append(slices.Clone(d.Entries), act)
 	return d
 }
 
-func (s Step) act(action audit.Action, subject, from, to string) Act {
-	return Act{
-		Draft: audit.Draft{ID: s.ID, Time: s.Act.Time, Actor: s.Actor, Action: action, Reason: s.Reason, Subject: subject, From: from, To: to},
-		Since: s.Act.Since,
+func (s Step) act(action audit.Action, subject, from, to string) PendingEntry {
+	return PendingEntry{
+		Draft: audit.Draft{ID: s.ID, Time: s.At.Time, Actor: s.Actor, Action: action, Reason: s.Reason, Subject: subject, From: from, To: to},
+		Since: s.At.Since,
 	}
 }
--- a/publication/publication_test.go
+++ b/publication/publication_test.go
@@ -49,7 +49,7 @@
 
 func (m *machine) step(t *testing.T, d *datadriven.TestData) Step {
 	m.steps++
-	s := Step{ID: fmt.Sprint("step-", m.steps), Act: Mark{Time: time.Unix(int64(m.steps), 0).UTC()}}
+	s := Step{ID: fmt.Sprint("step-", m.steps), At: AuditPoint{Time: time.Unix(int64(m.steps), 0).UTC()}}
 	d.MaybeScanArgs(t, "by", &s.Actor)
 	d.MaybeScanArgs(t, "because", &s.Reason)
 	return s
--- a/publication/record.go
+++ b/publication/record.go
@@ -19,7 +19,7 @@
 // PendingEntry is an audit entry that is stored in the object whose change it describes, so that
 // one update writes both. Since is the number of the last segment of the audit log at the time at
 // which the entry was prepared.
-type Act struct {
+type PendingEntry struct {
 	audit.Draft
 	Since int `json:"since"`
 }
@@ -42,7 +42,7 @@
 	Replaced Version `json:"replaced"`
 	// Entry is written to the audit trail by the publishing command or, if that was killed, by the
 	// next command.
-	Act Act `json:"act"`
+	Entry PendingEntry `json:"act"`
 }
 
 // Decode parses a record and verifies the digest of its text.
@@ -75,11 +75,11 @@
 }
 
 // AcceptResult is the decision of a daemon on an offered version.
-type Verdict uint8
+type AcceptResult uint8
 
 const (
 	// Take puts the offered version in force.
-	Take Verdict = iota
+	Take AcceptResult = iota
 	// Same means that the offered version is already in force.
 	Same
 	// Older is refused because its generation is lower than the one in force.
@@ -90,7 +90,7 @@
 )
 
 // String returns the result's name in logs.
-func (r Verdict) String() string {
+func (r AcceptResult) String() string {
 	switch r {
 	case Take:
 		return "take"
@@ -108,7 +108,7 @@
 // Failure guarded against: a peer that was paused for an hour, or a store that was restored from a
 // backup, offers an older generation, and a daemon that adopts it serves reads by withdrawn rules.
 // Only generations are ordered, so neither the source of the offers nor their order matters.
-func Accept(current, offered Version) Verdict {
+func Accept(current, offered Version) AcceptResult {
 	switch {
 	case offered.Generation > current.Generation:
 		return Take
--- a/publication/refused.go
+++ b/publication/refused.go
@@ -52,7 +52,7 @@
 	text := fmt.Sprintf("refused (%s): %s", e.Rule, e.Message)
 	if w := e.Winner; w != nil {
 		text += fmt.Sprintf("; generation %d (%.12s) was published by %s at %s from draft %s: %s",
-			w.Generation, w.Digest, w.Publisher, w.Published.Format("2006-01-02T15:04:05Z07:00"), w.Draft, w.Act.Reason)
+			w.Generation, w.Digest, w.Publisher, w.Published.Format("2006-01-02T15:04:05Z07:00"), w.Draft, w.Entry.Reason)
 	}
 	return text
 }
@@ -72,8 +72,8 @@
 	Reason string
 	// ID identifies the step in the audit trail. It is chosen at random, once, before anything is
 	// written.
-	ID  string
-	Act Mark
+	ID string
+	At AuditPoint
 	// Guards is set by tests only, to disable guards.
 	Guards guard.Set
 }
--- a/publication/store/guards_test.go
+++ b/publication/store/guards_test.go
@@ -137,7 +137,7 @@
 	s := without(p, guards)
 	d, _, err := s.Create(ctx, aoife, "f.ini", []byte(firstText))
 	require.NoError(t, err)
-	_, _ = s.Review(ctx, By{Actor: " Aoife", Reason: "mine"}, d.ID, nil)
+	_, _ = s.Review(ctx, Attribution{Actor: " Aoife", Reason: "mine"}, d.ID, nil)
 	_, _ = s.Publish(ctx, aoife, d.ID)
 	if current, err := s.Current(ctx); err != nil || current != nil {
 		return errors.New("one person put a set in force alone")
--- a/publication/store/publish.go
+++ b/publication/store/publish.go
@@ -21,7 +21,7 @@
 // Publish puts a reviewed draft in force by one conditional update. The error is nil if and only if
 // the publish was accepted. A *publication.RefusedError names the winner of a race, an *UnknownError
 // reports that the store stopped answering, and any other error means that nothing was changed.
-func (s *Store) Publish(ctx context.Context, by By, id string) (Published, error) {
+func (s *Store) Publish(ctx context.Context, by Attribution, id string) (Published, error) {
 	step, _, err := s.begin(ctx, by)
 	if err != nil {
 		return Published{}, err
@@ -59,7 +59,7 @@
 	}
 	r, err := readback.Put(ctx, s.platform, readback.Write{
 		Purpose: store.PurposeProfile, Key: CurrentKey, Value: value, Expect: expect, Pause: s.pause,
-		Mine: func(o store.Object) bool { return isRecord(o, next) && !s.guards.Out(GuardReadBack) },
+		IsOwn: func(o store.Object) bool { return isRecord(o, next) && !s.guards.Out(GuardReadBack) },
 	})
 	switch r.Outcome {
 	case readback.Won:
@@ -75,7 +75,7 @@
 
 func isRecord(o store.Object, next *publication.Record) bool {
 	r, err := publication.Decode(o.Value)
-	return err == nil && r.Act.ID == next.Act.ID
+	return err == nil && r.Entry.ID == next.Entry.ID
 }
 
 // resolveLost distinguishes a publish that lost from one that won, lost its answer and was replaced
@@ -91,7 +91,7 @@
 	for winner.Generation > next.Generation && !s.guards.Out(GuardOvertaken) {
 		archived, err := s.Set(ctx, next.Generation)
 		switch {
-		case err == nil && archived != nil && archived.Act.ID == next.Act.ID:
+		case err == nil && archived != nil && archived.Entry.ID == next.Entry.ID:
 			return nil
 		case err == nil:
 			return publication.Superseded(winner, "another publish came first")
@@ -152,7 +152,7 @@
 	}
 	result, err := readback.Put(ctx, s.platform, readback.Write{
 		Purpose: store.PurposeProfile, Key: setKey(r.Generation), Value: value, Pause: s.pause,
-		Mine: func(o store.Object) bool { return isRecord(o, r) },
+		IsOwn: func(o store.Object) bool { return isRecord(o, r) },
 	})
 	if result.Outcome == readback.Lost {
 		return errors.Errorf("profile generation %d is archived with another content", r.Generation)
--- a/publication/store/settle.go
+++ b/publication/store/settle.go
@@ -12,7 +12,7 @@
 	"endivemoor.example/endivemoor/store"
 )
 
-func pending(entries ...publication.Act) []auditlog.Pending {
+func pending(entries ...publication.PendingEntry) []auditlog.Pending {
 	out := make([]auditlog.Pending, len(entries))
 	for i, e := range entries {
 		out[i] = auditlog.Pending{Draft: e.Draft, Since: e.Since}
@@ -28,7 +28,7 @@
 	if err != nil && !removed {
 		return err
 	}
-	entries := append(d.Acts[d.Recorded:len(d.Acts):len(d.Acts)], r.Act)
+	entries := append(d.Entries[d.Recorded:len(d.Entries):len(d.Entries)], r.Entry)
 	if err := s.log.Append(ctx, pending(entries...)...); err != nil {
 		return err
 	}
@@ -49,18 +49,18 @@
 // settleDraft records the audit entries of a draft that are not known to be in the audit trail, and
 // removes a retired draft.
 func (s *Store) settleDraft(ctx context.Context, d publication.Draft, version store.Version) error {
-	if d.Recorded < len(d.Acts) {
-		if err := s.log.Append(ctx, pending(d.Acts[d.Recorded:]...)...); err != nil {
+	if d.Recorded < len(d.Entries) {
+		if err := s.log.Append(ctx, pending(d.Entries[d.Recorded:]...)...); err != nil {
 			return err
 		}
 	}
 	if d.State == publication.StateRetired {
 		return s.remove(ctx, d.ID, version)
 	}
-	if d.Recorded == len(d.Acts) {
+	if d.Recorded == len(d.Entries) {
 		return nil
 	}
-	d.Recorded = len(d.Acts)
+	d.Recorded = len(d.Entries)
 	value, err := json.Marshal(d)
 	if err != nil {
 		return errors.Wrap(err, "encode draft")
--- a/publication/store/steps.go
+++ b/publication/store/steps.go
@@ -14,14 +14,14 @@
 )
 
 // Attribution names the actor of a step and the actor's reason.
-type By struct {
+type Attribution struct {
 	Actor  string
 	Reason string
 }
 
 // Create checks a text and, unless a finding refuses it, stores it as a draft. It returns the
 // findings in both cases.
-func (s *Store) Create(ctx context.Context, by By, file string, text []byte) (publication.Draft, finding.Findings, error) {
+func (s *Store) Create(ctx context.Context, by Attribution, file string, text []byte) (publication.Draft, finding.Findings, error) {
 	step, current, err := s.begin(ctx, by)
 	if err != nil {
 		return publication.Draft{}, nil, err
@@ -39,7 +39,7 @@
 }
 
 // Review records a reviewer's approval of a draft as the replacement of the record in force.
-func (s *Store) Review(ctx context.Context, by By, id string, accepted []string) (publication.Draft, error) {
+func (s *Store) Review(ctx context.Context, by Attribution, id string, accepted []string) (publication.Draft, error) {
 	step, current, err := s.begin(ctx, by)
 	if err != nil {
 		return publication.Draft{}, err
@@ -64,7 +64,7 @@
 }
 
 // Retire withdraws a draft.
-func (s *Store) Retire(ctx context.Context, by By, id string) (publication.Draft, error) {
+func (s *Store) Retire(ctx context.Context, by Attribution, id string) (publication.Draft, error) {
 	step, _, err := s.begin(ctx, by)
 	if err != nil {
 		return publication.Draft{}, err
@@ -82,7 +82,7 @@
 
 // begin completes what an interrupted command left undone, and prepares a step. It also returns the
 // record in force.
-func (s *Store) begin(ctx context.Context, by By) (publication.Step, *publication.Record, error) {
+func (s *Store) begin(ctx context.Context, by Attribution) (publication.Step, *publication.Record, error) {
 	var none publication.Step
 	if !s.guards.Out(GuardRecover) {
 		if err := s.Recover(ctx); err != nil {
@@ -97,8 +97,8 @@
 	if err != nil {
 		return none, nil, err
 	}
-	at := publication.Mark{Time: s.now().UTC(), Since: since}
-	return publication.Step{Actor: by.Actor, Reason: by.Reason, ID: s.newID(), Act: at, Guards: s.guards}, current, nil
+	at := publication.AuditPoint{Time: s.now().UTC(), Since: since}
+	return publication.Step{Actor: by.Actor, Reason: by.Reason, ID: s.newID(), At: at, Guards: s.guards}, current, nil
 }
 
 // write stores a draft after a step, together with the step's audit entry, and then appends the entry
@@ -109,10 +109,10 @@
 	if err != nil {
 		return errors.Wrap(err, "encode draft")
 	}
-	entryID := d.Acts[len(d.Acts)-1].ID
+	entryID := d.Entries[len(d.Entries)-1].ID
 	r, err := readback.Put(ctx, s.platform, readback.Write{
 		Purpose: store.PurposeProfile, Key: DraftPrefix + d.ID, Value: value, Expect: expect, Pause: s.pause,
-		Mine: func(o store.Object) bool { return draftHasEntry(o, entryID) && !s.guards.Out(GuardReadBack) },
+		IsOwn: func(o store.Object) bool { return draftHasEntry(o, entryID) && !s.guards.Out(GuardReadBack) },
 	})
 	switch r.Outcome {
 	case readback.Won:
@@ -142,7 +142,7 @@
 	if json.Unmarshal(o.Value, &d) != nil {
 		return false
 	}
-	for _, e := range d.Acts {
+	for _, e := range d.Entries {
 		if e.ID == id {
 			return true
 		}
@@ -153,10 +153,10 @@
 // lostDraft returns the error of a step that lost a race. It names the competing change of the draft.
 func lostDraft(id string, o store.Object) error {
 	var d publication.Draft
-	if o.Version == 0 || json.Unmarshal(o.Value, &d) != nil || len(d.Acts) == 0 {
+	if o.Version == 0 || json.Unmarshal(o.Value, &d) != nil || len(d.Entries) == 0 {
 		return &publication.RefusedError{Rule: publication.RuleState, Message: "draft " + id + " was published or retired meanwhile"}
 	}
-	last := d.Acts[len(d.Acts)-1]
+	last := d.Entries[len(d.Entries)-1]
 	return &publication.RefusedError{
 		Rule:    publication.RuleState,
 		Message: "draft " + id + " was changed meanwhile: " + string(last.Action) + " by " + last.Actor + ": " + last.Reason,
--- a/publication/store/store_test.go
+++ b/publication/store/store_test.go
@@ -25,10 +25,10 @@
 )
 
 var (
-	aoife = By{Actor: "aoife", Reason: "season"}
-	brian = By{Actor: "brian", Reason: "read it"}
-	ciara = By{Actor: "ciara", Reason: "sale"}
-	dora  = By{Actor: "dora", Reason: "next"}
+	aoife = Attribution{Actor: "aoife", Reason: "season"}
+	brian = Attribution{Actor: "brian", Reason: "read it"}
+	ciara = Attribution{Actor: "ciara", Reason: "sale"}
+	dora  = Attribution{Actor: "dora", Reason: "next"}
 )
 
 func noon() time.Time { return time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC) }
@@ -43,7 +43,7 @@
 }
 
 // reviewed stores a reviewed draft of text by the author and returns its ID.
-func reviewed(t *testing.T, p store.Store, author By, text string) string {
+func reviewed(t *testing.T, p store.Store, author Attribution, text string) string {
 	t.Helper()
 	ctx := context.Background()
 	d, _, err := open(p).Create(ctx, author, "f.ini", []byte(text))
@@ -123,7 +123,7 @@
 	p.SetFaults(platformd.Faults{LoseProbability: 0.5, Seed: seed})
 	results := make([]error, 2)
 	var wg sync.WaitGroup
-	for i, by := range []By{aoife, ciara} {
+	for i, by := range []Attribution{aoife, ciara} {
 		wg.Go(func() { _, results[i] = without(p, guards).Publish(context.Background(), by, ids[i]) })
 	}
 	wg.Wait()
--- a/spending/meter.go
+++ b/spending/meter.go
@@ -27,9 +27,9 @@
 
 const (
 	// SameZone connections stay in the VM's availability zone.
-	Near Reach = "near"
+	SameZone Reach = "near"
 	// CrossZone connections leave it.
-	Far Reach = "far"
+	CrossZone Reach = "far"
 	// Unknown is used for an address whose zone is not known.
 	Unknown Reach = "unknown"
 )
@@ -91,10 +91,10 @@
 }
 
 // RecordQuery counts a query or command to a target.
-func (m *Meter) Asked(r Reason) { m.counter(Item{Family: Questions, Name: string(r)}).add(1) }
+func (m *Meter) RecordQuery(r Reason) { m.counter(Item{Family: Queries, Name: string(r)}).add(1) }
 
 // RecordCall counts a call to the store.
-func (m *Meter) Called(kind, verb string) {
+func (m *Meter) RecordCall(kind, verb string) {
 	m.counter(Item{Family: Calls, Name: kind, Detail: verb}).add(1)
 }
 
@@ -117,7 +117,7 @@
 	switch i.Family {
 	case Bytes:
 		return m.bytes.WithLabelValues(i.Name, i.Detail)
-	case Questions:
+	case Queries:
 		return m.queries.WithLabelValues(i.Name)
 	default:
 		return m.calls.WithLabelValues(i.Name, i.Detail)
--- a/spending/report.go
+++ b/spending/report.go
@@ -13,7 +13,7 @@
 const Event = "spent"
 
 // Summary adds up the counts in the logs of VMs. It is not safe for concurrent use.
-type Account struct {
+type Summary struct {
 	// counts are the latest counts of each incarnation of a VM. They only grow while it runs, so
 	// the latest ones replace the earlier ones.
 	counts map[incarnation]map[Item]int64
@@ -23,15 +23,15 @@
 type incarnation struct{ vm, zone, incarnation string }
 
 // NewSummary returns an empty Summary.
-func NewAccount() *Account { return &Account{counts: make(map[incarnation]map[Item]int64)} }
+func NewSummary() *Summary { return &Summary{counts: make(map[incarnation]map[Item]int64)} }
 
 // Read adds a log. Lines of other events, and lines that are not key=value pairs, are skipped.
-func (s *Account) Read(r io.Reader) error {
+func (s *Summary) Read(r io.Reader) error {
 	return logging.EachEvent(r, []string{Event}, s.add)
 }
 
 // add replaces the counts of an incarnation by those of one line.
-func (s *Account) add(fields map[string]string) {
+func (s *Summary) add(fields map[string]string) {
 	counts := make(map[Item]int64)
 	for key, value := range fields {
 		parseCount(counts, key, value)
@@ -65,7 +65,7 @@
 }
 
 // Rows returns a row for each item, over all VMs or by their zone.
-func (s *Account) Rows(byZone bool) []Row {
+func (s *Summary) Rows(byZone bool) []Row {
 	type key struct {
 		Item
 		zone string
@@ -97,7 +97,7 @@
 }
 
 // byVM sums the counts of each VM's incarnations.
-func (s *Account) byVM(byZone bool) map[incarnation]map[Item]int64 {
+func (s *Summary) byVM(byZone bool) map[incarnation]map[Item]int64 {
 	out := make(map[incarnation]map[Item]int64)
 	for vm, counts := range s.counts {
 		vm.incarnation = ""
--- a/spending/spending_test.go
+++ b/spending/spending_test.go
@@ -31,9 +31,9 @@
 	m := NewMeter(prometheus.NewRegistry())
 	dial := m.Dial(Relay, replyDialer, func(addr string) Reach {
 		if strings.HasPrefix(addr, "10.1.") {
-			return Near
+			return SameZone
 		}
-		return Far
+		return CrossZone
 	})
 	for _, addr := range []string{"10.1.0.1:1", "10.2.0.1:1", "10.2.0.2:1"} {
 		c, err := dial(context.Background(), "tcp", addr)
@@ -43,8 +43,8 @@
 		_, err = io.ReadFull(c, make([]byte, 3))
 		require.NoError(t, err)
 	}
-	require.Equal(t, int64(8), m.byteCounter(Relay, Near).n.Load())
-	require.Equal(t, int64(16), m.byteCounter(Relay, Far).n.Load())
+	require.Equal(t, int64(8), m.byteCounter(Relay, SameZone).n.Load())
+	require.Equal(t, int64(16), m.byteCounter(Relay, CrossZone).n.Load())
 }
 
 // selfCheckedConn is a connection that implements idleChecker.
@@ -81,16 +81,16 @@
 // the last line of each incarnation counts.
 func TestAccountSumsProcessesAndVMs(t *testing.T) {
 	log := "nothing of ours\n" +
-		lines(t, "a", "east", "a-1", func(m *Meter) { m.Asked(Witness); m.Called("ours", "watch") }) +
-		lines(t, "a", "east", "a-2", func(m *Meter) { m.Asked(Witness) }) +
-		lines(t, "b", "west", "b-1", func(m *Meter) { m.Asked(Witness); m.Asked(Witness); m.Asked(Witness) })
-	summary := NewAccount()
+		lines(t, "a", "east", "a-1", func(m *Meter) { m.RecordQuery(Witness); m.RecordCall("ours", "watch") }) +
+		lines(t, "a", "east", "a-2", func(m *Meter) { m.RecordQuery(Witness) }) +
+		lines(t, "b", "west", "b-1", func(m *Meter) { m.RecordQuery(Witness); m.RecordQuery(Witness); m.RecordQuery(Witness) })
+	summary := NewSummary()
 	require.NoError(t, summary.Read(strings.NewReader(log)))
 	require.Equal(t, []Row{
 		{Family: Calls, Name: "ours", Detail: "watch", VMs: 1, Total: 2, Most: 2, MostAt: "a"},
-		{Family: Questions, Name: "witness", VMs: 2, Total: 10, Most: 6, MostAt: "b"},
+		{Family: Queries, Name: "witness", VMs: 2, Total: 10, Most: 6, MostAt: "b"},
 	}, summary.Rows(false))
 	rows := summary.Rows(true)
 	require.Len(t, rows, 3)
-	require.Equal(t, Row{Family: Questions, Name: "witness", Zone: "west", VMs: 1, Total: 6, Most: 6, MostAt: "b"}, rows[1])
+	require.Equal(t, Row{Family: Queries, Name: "witness", Zone: "west", VMs: 1, Total: 6, Most: 6, MostAt: "b"}, rows[1])
 }
--- a/spending/total.go
+++ b/spending/total.go
@@ -14,9 +14,9 @@
 type Family string
 
 const (
-	Bytes     Family = "bytes"
-	Questions Family = "questions"
-	Calls     Family = "calls"
+	Bytes   Family = "bytes"
+	Queries Family = "questions"
+	Calls   Family = "calls"
 )
 
 // Item identifies one count.
@@ -43,7 +43,7 @@
 // parseKey is the inverse of Key. It returns false if the key does not belong to an Item.
 func parseKey(key string) (Item, bool) {
 	parts := strings.SplitN(key, separator, 3)
-	if len(parts) < 2 || !slices.Contains([]Family{Bytes, Questions, Calls}, Family(parts[0])) {
+	if len(parts) < 2 || !slices.Contains([]Family{Bytes, Queries, Calls}, Family(parts[0])) {
 		return Item{}, false
 	}
 	i := Item{Family: Family(parts[0]), Name: parts[1]}
--- a/store/readback/readback.go
+++ b/store/readback/readback.go
@@ -64,7 +64,7 @@
 	// IsOwn reports whether an object whose version is no longer Expect contains this update. If it
 	// is nil, whole values are compared, which distinguishes two writers only if their values differ,
 	// and does not find an update that has since been overwritten.
-	Mine func(store.Object) bool
+	IsOwn func(store.Object) bool
 	// Pause is the time between two read-backs.
 	Pause time.Duration
 }
@@ -149,8 +149,8 @@
 
 // contains reports whether o contains this update.
 func (w Write) contains(o store.Object) bool {
-	if w.Mine != nil {
-		return w.Mine(o)
+	if w.IsOwn != nil {
+		return w.IsOwn(o)
 	}
 	return bytes.Equal(o.Value, w.Value)
 }
