--- a/edge/behind_test.go
+++ b/edge/behind_test.go
@@ -30,10 +30,10 @@
 // target leads, and the old primary serves reads too. No write is lost or left in doubt.
 func TestPrimaryIsChangedWhileAllReplicasAreFarBehind(t *testing.T) {
 	runFleetWith(t, 3, database.Options{Slots: 1}, func(f *fleet) {
-		f.group.SetBehind("ledger-1", 30*time.Second)
-		f.group.SetBehind("ledger-2", 30*time.Second)
+		f.group.SetApplyDelay("ledger-1", 30*time.Second)
+		f.group.SetApplyDelay("ledger-2", 30*time.Second)
 		runReaders(f, 60, 20*time.Second)
-		duties := f.world.Store.Duties()
+		duties := f.world.Store.DesignationCalls()
 		require.Len(t, duties, 1, "want exactly one change of primary")
 		require.Equal(t, "replica", f.group.Server("ledger-0").Role(), "the old primary serves as a replica")
 		f.checkInvariants()
@@ -44,10 +44,10 @@
 // but the primary can serve all reads.
 func TestIdlePrimaryIsNotChangedForItsReplicas(t *testing.T) {
 	runFleet(t, 3, func(f *fleet) {
-		f.group.SetBehind("ledger-1", 30*time.Second)
-		f.group.SetBehind("ledger-2", 30*time.Second)
+		f.group.SetApplyDelay("ledger-1", 30*time.Second)
+		f.group.SetApplyDelay("ledger-2", 30*time.Second)
 		runReaders(f, 2, 10*time.Second)
-		require.Empty(t, f.world.Store.Duties())
+		require.Empty(t, f.world.Store.DesignationCalls())
 		f.checkInvariants()
 	})
 }
@@ -55,9 +55,9 @@
 // Guards against: a change of primary although one replica is up to date and serves the reads.
 func TestPrimaryStaysWhileOneReplicaIsUpToDate(t *testing.T) {
 	runFleetWith(t, 3, database.Options{Slots: 1}, func(f *fleet) {
-		f.group.SetBehind("ledger-1", 30*time.Second)
+		f.group.SetApplyDelay("ledger-1", 30*time.Second)
 		runReaders(f, 60, 20*time.Second)
-		require.Empty(t, f.world.Store.Duties())
+		require.Empty(t, f.world.Store.DesignationCalls())
 		f.checkInvariants()
 	})
 }
@@ -67,8 +67,8 @@
 // once the attempt has expired, and no write is lost.
 func TestHolderDiesWhileItReplacesAPrimaryWithLateReads(t *testing.T) {
 	runFleetWith(t, 3, database.Options{Slots: 1}, func(f *fleet) {
-		f.group.SetBehind("ledger-1", 30*time.Second)
-		f.group.SetBehind("ledger-2", 30*time.Second)
+		f.group.SetApplyDelay("ledger-1", 30*time.Second)
+		f.group.SetApplyDelay("ledger-2", 30*time.Second)
 		go func() {
 			holder := ""
 			for holder == "" {
--- a/edge/breaker_test.go
+++ b/edge/breaker_test.go
@@ -20,7 +20,7 @@
 		f.isolate("vm2")
 		f.world.Net.Cut("vm2", "ledger-1")
 		f.world.Net.Cut("vm2", "ledger-2")
-		f.group.SetDeaf("ledger-0", true)
+		f.group.SetReplicationCut("ledger-0", true)
 		f.world.Net.Cut("vm0", "ledger-0")
 		f.world.Net.Cut("vm1", "ledger-0")
 		// The other VMs detect that the primary is unreachable; the proofs of the isolated VM
@@ -33,7 +33,7 @@
 		require.Greater(t, float64(atOnce)/float64(total), 2./3, "none is refused at once without the circuit breaker")
 		require.True(t, f.session("vm0", exact).Query("WRITE b paid").OK(), "the other VMs still serve")
 		f.world.Net.HealAll()
-		f.group.SetDeaf("ledger-0", false)
+		f.group.SetReplicationCut("ledger-0", false)
 		time.Sleep(5 * time.Second)
 		require.Equal(t, []string{"paid"}, c.Query("READ b").Rows, "the VM serves again after the partition")
 		f.checkInvariants()
--- a/edge/failover_test.go
+++ b/edge/failover_test.go
@@ -51,7 +51,7 @@
 		require.Less(t, gap, 1500*time.Millisecond)
 		require.NotEqual(t, "ledger-0", f.group.Leader())
 		requireAll(f, f.session("vm1", exact), append(before, after...))
-		require.Len(t, f.world.Store.Duties(), 1, "one VM makes one attempt")
+		require.Len(t, f.world.Store.DesignationCalls(), 1, "one VM makes one attempt")
 		f.checkInvariants()
 	})
 }
@@ -62,7 +62,7 @@
 func TestDeafReplicaIsNotPromoted(t *testing.T) {
 	runFleet(t, 3, func(f *fleet) {
 		c := f.session("vm0", exact)
-		f.group.SetDeaf("ledger-1", true)
+		f.group.SetReplicationCut("ledger-1", true)
 		_, bought := buyUntil(f, c, 2*time.Second)
 		f.world.Crash(service, "ledger-0")
 		_, after := buyUntil(f, c, 4*time.Second)
@@ -78,7 +78,7 @@
 func TestLastReplicaThatLacksCommitsIsNotPromoted(t *testing.T) {
 	runFleet(t, 3, func(f *fleet) {
 		c := f.session("vm0", exact)
-		f.group.SetDeaf("ledger-1", true)
+		f.group.SetReplicationCut("ledger-1", true)
 		_, bought := buyUntil(f, c, time.Second)
 		f.world.Crash(service, "ledger-2")
 		f.world.Store.Remove("servers", "ledger-2")
@@ -86,8 +86,8 @@
 		f.world.Crash(service, "ledger-0")
 		f.world.Store.Remove("servers", "ledger-0")
 		time.Sleep(8 * time.Second)
-		require.Empty(t, f.world.Store.Duties())
-		f.group.SetDeaf("ledger-1", false)
+		require.Empty(t, f.world.Store.DesignationCalls())
+		f.group.SetReplicationCut("ledger-1", false)
 		f.world.Restart(service, "ledger-0")
 		time.Sleep(4 * time.Second)
 		requireAll(f, f.session("vm1", exact), bought)
@@ -130,7 +130,7 @@
 		f.world.Crash(service, "ledger-0")
 		gap, _ := buyUntil(f, c, 5*time.Second)
 		require.Less(t, gap, 2500*time.Millisecond)
-		require.Equal(t, "vm2", f.world.Store.Duties()[0].Holder)
+		require.Equal(t, "vm2", f.world.Store.DesignationCalls()[0].Holder)
 		f.checkInvariants()
 	})
 }
@@ -155,7 +155,7 @@
 	runFleet(t, 3, func(f *fleet) {
 		c := f.session("vm0", exact)
 		require.True(t, c.Query("WRITE seat free").OK())
-		f.group.SetDeaf("ledger-0", true)
+		f.group.SetReplicationCut("ledger-0", true)
 		_, bought := buyUntil(f, c, 4*time.Second)
 		require.NotEmpty(t, bought)
 		require.True(t, c.Query("WRITE seat taken").OK())
@@ -176,7 +176,7 @@
 		require.True(t, c.Query("WRITE seat free").OK())
 		require.Equal(t, []string{"free"}, alone.Query("READ seat").Rows)
 		f.isolate("vm1")
-		f.group.SetDeaf("ledger-0", true)
+		f.group.SetReplicationCut("ledger-0", true)
 		sold := ""
 		for i := 0; i < 20 && sold == ""; i++ {
 			if buyer := fmt.Sprint("buyer", i); c.Query("WRITE seat " + buyer).OK() {
@@ -203,8 +203,8 @@
 			f.world.Crash(service, "ledger-0")
 			start := time.Now()
 			_, _ = buyUntil(f, c, 4*time.Second)
-			require.Len(t, f.world.Store.Duties(), 1)
-			until = f.world.Store.Duties()[0].At.Sub(start)
+			require.Len(t, f.world.Store.DesignationCalls(), 1)
+			until = f.world.Store.DesignationCalls()[0].At.Sub(start)
 		})
 		return until
 	}
@@ -219,7 +219,7 @@
 		f.world.Store.SetDown(true)
 		f.world.Crash(service, "ledger-0")
 		buyUntil(f, c, 3*time.Second)
-		require.Empty(t, f.world.Store.Duties())
+		require.Empty(t, f.world.Store.DesignationCalls())
 		f.world.Store.SetDown(false)
 		_, after := buyUntil(f, c, 3*time.Second)
 		require.NotEmpty(t, after)
@@ -241,7 +241,7 @@
 		time.Sleep(time.Second)
 		f.world.Crash(service, "ledger-0")
 		time.Sleep(5 * time.Second)
-		duties := f.world.Store.Duties()
+		duties := f.world.Store.DesignationCalls()
 		require.NotEmpty(t, duties)
 		for _, d := range duties {
 			d.At = duties[0].At
@@ -258,9 +258,9 @@
 // hold none of the writes.
 func TestReplicasThatReplacedAHolderAreNotPromoted(t *testing.T) {
 	runFleet(t, 3, func(f *fleet) {
-		f.group.SetDeaf("ledger-1", true)
+		f.group.SetReplicationCut("ledger-1", true)
 		f.world.AddServer(service, "ledger-3", "b")
-		f.group.SetDeaf("ledger-3", true)
+		f.group.SetReplicationCut("ledger-3", true)
 		c := f.session("vm0", exact)
 		_, bought := buyUntil(f, c, 2*time.Second)
 		require.NotEmpty(t, bought)
@@ -269,9 +269,9 @@
 		f.world.Crash(service, "ledger-2")
 		f.world.Store.Remove("servers", "ledger-2")
 		_, _ = buyUntil(f, c, 5*time.Second)
-		require.Empty(t, f.world.Store.Duties())
-		f.group.SetDeaf("ledger-1", false)
-		f.group.SetDeaf("ledger-3", false)
+		require.Empty(t, f.world.Store.DesignationCalls())
+		f.group.SetReplicationCut("ledger-1", false)
+		f.group.SetReplicationCut("ledger-3", false)
 		_, after := buyUntil(f, c, 3*time.Second)
 		require.NotEmpty(t, after)
 		requireAll(f, f.session("vm1", exact), append(bought, after...))
@@ -293,7 +293,7 @@
 		f.isolate("vm1")
 		f.world.Net.Cut("vm0", "ledger-0")
 		f.world.Net.Cut("vm2", "ledger-0")
-		f.group.SetDeaf("ledger-0", true)
+		f.group.SetReplicationCut("ledger-0", true)
 		_, bought := buyUntil(f, c, 4*time.Second)
 		require.NotEmpty(t, bought)
 		require.NotEqual(t, "ledger-0", f.group.Leader())
@@ -342,7 +342,7 @@
 func TestLeavingPrimaryGetsNoWorkForLong(t *testing.T) {
 	runFleet(t, 1, func(f *fleet) {
 		c := f.session("vm0", exact)
-		f.group.SetDeaf("ledger-2", true)
+		f.group.SetReplicationCut("ledger-2", true)
 		require.True(t, c.Query("WRITE a 1").OK())
 		f.world.Crash(service, "ledger-1")
 		f.world.Store.Remove("servers", "ledger-1")
@@ -407,7 +407,7 @@
 		require.True(t, ok)
 		require.NotContains(t, string(o.Spec), "attempt")
 		require.Contains(t, string(o.Spec), "ledger-0")
-		require.Empty(t, f.world.Store.Duties(), "no target is promoted")
+		require.Empty(t, f.world.Store.DesignationCalls(), "no target is promoted")
 		require.NotEmpty(t, bought)
 		f.checkInvariants()
 	})
--- a/edge/gateway_test.go
+++ b/edge/gateway_test.go
@@ -198,7 +198,7 @@
 	runFleetWith(t, vms, database.Options{MaxConnections: 20}, func(f *fleet) {
 		var wait sync.WaitGroup
 		var failed atomic.Int64
-		before := f.group.Questions()
+		before := f.group.StatusQueries()
 		number := 0
 		for name := range f.vms {
 			c := f.session(name, exact)
@@ -216,7 +216,7 @@
 		}
 		wait.Wait()
 		require.Zero(t, failed.Load())
-		queries := f.group.Questions() - before
+		queries := f.group.StatusQueries() - before
 		t.Logf("%d status queries for %d statements", queries, 2*vms*sales)
 		require.Less(t, queries, int64(2*vms*sales)/4)
 		f.checkInvariants()
@@ -336,7 +336,7 @@
 				}
 			}
 		}
-		f.group.SetDeaf("ledger-0", true)
+		f.group.SetReplicationCut("ledger-0", true)
 		var sold atomic.Int64
 		end := time.Now().Add(8 * time.Second)
 		var wait sync.WaitGroup
--- a/edge/harness_test.go
+++ b/edge/harness_test.go
@@ -83,7 +83,7 @@
 
 // runFleetWith runs a scenario against targets with the given options.
 func runFleetWith(t *testing.T, n int, opt database.Options, scenario func(f *fleet)) {
-	opt.Service, opt.Lag, opt.Work = service, 60*time.Millisecond, 5*time.Millisecond
+	opt.Service, opt.Lag, opt.StatementTime = service, 60*time.Millisecond, 5*time.Millisecond
 	bubble.Test(t, func(t *testing.T) {
 		f := &fleet{t: t, world: world.New(), vms: make(map[string]*vm)}
 		f.group = f.world.AddGroup(opt, zones...)
@@ -222,8 +222,8 @@
 // checkInvariants checks what must hold at the end of every scenario.
 func (f *fleet) checkInvariants() {
 	f.t.Helper()
-	v := f.group.Judge()
+	v := f.group.Check()
 	require.Empty(f.t, v.Lost, "acknowledged commits were lost")
-	require.Empty(f.t, v.Twice, "writes took effect twice")
-	require.Empty(f.t, f.world.Store.Disorder(), "calls of holders reached the platform out of order")
+	require.Empty(f.t, v.Duplicates, "writes took effect twice")
+	require.Empty(f.t, f.world.Store.OrderViolations(), "calls of holders reached the platform out of order")
 }
--- a/edge/largeconfig_test.go
+++ b/edge/largeconfig_test.go
@@ -144,7 +144,7 @@
 		f.world.SetRoutes(routesUpTo(9)...)
 		time.Sleep(time.Second)
 		for _, name := range names {
-			f.world.SilenceStore(name)
+			f.world.StallStoreConnections(name)
 		}
 		routes := routesUpTo(10)
 		f.world.SetRoutes(routes...)
--- a/edge/leaderless_test.go
+++ b/edge/leaderless_test.go
@@ -30,9 +30,9 @@
 		runConsumers(f, []string{exact}, 2, time.Second, read)
 		recordAttempt(f, "vm9")
 		f.world.Crash(service, "ledger-0")
-		queries, calls := f.group.Questions(), f.world.Store.Calls()
+		queries, calls := f.group.StatusQueries(), f.world.Store.Calls()
 		runConsumers(f, []string{exact, bounded}, 10, takeover.ExpireAfter-time.Second, read)
-		queries, calls = f.group.Questions()-queries, f.world.Store.Calls()-calls
+		queries, calls = f.group.StatusQueries()-queries, f.world.Store.Calls()-calls
 		t.Logf("status queries %d, calls to the store %d", queries, calls)
 		require.Less(t, queries, int64(3*4*2*5), "each VM queries each replica five times a second at most")
 		require.Less(t, calls, 100)
@@ -56,7 +56,7 @@
 		gap, after := buyUntil(f, c, 7*time.Second)
 		require.Less(t, gap, 3*time.Second)
 		requireAll(f, f.session("vm2", exact), append(bought, after...))
-		require.Equal(t, "vm0", f.world.Store.Duties()[0].Holder)
+		require.Equal(t, "vm0", f.world.Store.DesignationCalls()[0].Holder)
 		f.checkInvariants()
 	})
 }
--- a/edge/matrix_test.go
+++ b/edge/matrix_test.go
@@ -109,9 +109,9 @@
 			f.inject(matrixFaults[cell[1]].end)
 		}
 		time.Sleep(12 * time.Second)
-		before := load.Sales()
+		before := load.AckedWrites()
 		time.Sleep(2 * time.Second)
-		served := load.Sales() > before
+		served := load.AckedWrites() > before
 		broken, _, _ := load.End()
 		require.Empty(t, broken)
 		f.checkInvariants()
--- a/edge/path_test.go
+++ b/edge/path_test.go
@@ -44,8 +44,8 @@
 		require.True(t, c.Query("WRITE pass1 old").OK())
 		require.True(t, c.Query("READ pass1").OK())
 		time.Sleep(time.Second)
-		f.group.SetDeaf("ledger-1", true)
-		f.group.SetDeaf("ledger-2", false)
+		f.group.SetReplicationCut("ledger-1", true)
+		f.group.SetReplicationCut("ledger-2", false)
 		for i := range 20 {
 			value := fmt.Sprint("v", i)
 			require.True(t, c.Query("WRITE pass1 "+value).OK())
--- a/edge/shutdown.go
+++ b/edge/shutdown.go
@@ -47,7 +47,7 @@
 // and returns before the process is killed.
 func (e *Edge) shutDownGracefully(ctx context.Context) {
 	start := time.Now()
-	grace := e.settings.Stop()
+	grace := e.settings.StopTimeout()
 	e.log.Info("leaving", zap.Int("sessions", e.sessions.count()), zap.Duration("grace", grace))
 	e.shutdown.leaving.Store(true)
 	go e.fleetEntry.remove(ctx)
--- a/edge/starts_test.go
+++ b/edge/starts_test.go
@@ -15,7 +15,7 @@
 // wait for that target.
 func startAmongOldLists(t *testing.T, vms int) {
 	runFleet(t, vms, func(f *fleet) {
-		f.world.Store.HoldStale()
+		f.world.Store.FreezeStaleLists()
 		route := catalog.Route{Database: "extra", Service: service, Freshness: catalog.Exact, StatementTimeout: time.Second, Objective: time.Second}
 		f.world.SetRoutes(append(standardRoutes(), route)...)
 		f.world.Crash(service, "ledger-0")
@@ -72,7 +72,7 @@
 		for _, kind := range f.world.Store.Kinds() {
 			require.NotEqual(t, "endivemoor", kind, "the fleet has no entries before its first start")
 		}
-		f.world.Store.HoldStaleEmpty()
+		f.world.Store.FreezeStaleListsEmpty()
 		for i := range vms {
 			f.start(fmt.Sprintf("vm%d", i), zones[i%len(zones)], i+1)
 		}
--- a/edge/story_test.go
+++ b/edge/story_test.go
@@ -74,7 +74,7 @@
 	case "primary":
 		s.printf("primary %s\n", s.f.group.Leader())
 	case "promotions":
-		s.printf("promotions %d\n", len(s.f.world.Store.Duties()))
+		s.printf("promotions %d\n", len(s.f.world.Store.DesignationCalls()))
 	default:
 		s.f.execute(line)
 	}
--- a/edge/trouble_test.go
+++ b/edge/trouble_test.go
@@ -12,13 +12,13 @@
 	"crash":   func(f *fleet, a []string) { f.world.Crash(service, a[0]) },
 	"restart": func(f *fleet, a []string) { f.world.Restart(service, a[0]) },
 	"remove":  func(f *fleet, a []string) { f.world.Remove(service, a[0]) },
-	"reborn":  func(f *fleet, a []string) { f.world.Reborn(service, a[0]) },
-	"garble":  func(f *fleet, a []string) { f.world.Garble(service, a[0], a[1]) },
-	"enter":   func(f *fleet, a []string) { f.world.Enter(service, a[0]) },
+	"reborn":  func(f *fleet, a []string) { f.world.RestartEmpty(service, a[0]) },
+	"garble":  func(f *fleet, a []string) { f.world.CorruptEntry(service, a[0], a[1]) },
+	"enter":   func(f *fleet, a []string) { f.world.WriteEntry(service, a[0]) },
 	"drain":   func(f *fleet, a []string) { f.world.Drain(service, a[0]) },
-	"deafen":  func(f *fleet, a []string) { f.group.SetDeaf(a[0], true) },
+	"deafen":  func(f *fleet, a []string) { f.group.SetReplicationCut(a[0], true) },
 	"undeafen": func(f *fleet, a []string) {
-		f.group.SetDeaf(a[0], false)
+		f.group.SetReplicationCut(a[0], false)
 	},
 	"join":         func(f *fleet, a []string) { f.world.AddServer(service, a[0], a[1]) },
 	"lose-answers": func(f *fleet, a []string) { f.group.LoseAnswers(a[0], parseInt(a[1])) },
--- a/edge/workspaces_test.go
+++ b/edge/workspaces_test.go
@@ -32,7 +32,7 @@
 func (f *fleet) checkWorkspaces() {
 	f.t.Helper()
 	f.checkInvariants()
-	require.Equal(f.t, workspaces.Verdict{}, f.world.Judge.Judge(workspaces.DefaultBounds))
+	require.Equal(f.t, workspaces.CheckResult{}, f.world.Checker.Check(workspaces.DefaultBounds))
 }
 
 func workspace(name string, keys ...string) workspaces.Workspace {
--- a/internal/e2e/soak_test.go
+++ b/internal/e2e/soak_test.go
@@ -211,8 +211,8 @@
 
 // goesOn waits until further sales are made.
 func (s *soak) goesOn(load *traffic.Traffic, what string) {
-	before := load.Sales()
-	eventually(s.t, what, func() bool { return load.Sales() > before+5 })
+	before := load.AckedWrites()
+	eventually(s.t, what, func() bool { return load.AckedWrites() > before+5 })
 }
 
 // between draws a time in milliseconds.
