--- a/scenario/acknowledge.go
+++ b/scenario/acknowledge.go
@@ -21,21 +21,21 @@
 	a.passThen(core.StepCommitted, a.acknowledge)
 }
 
-// acknowledge asks the gate, and the replicas while it waits.
+// acknowledge evaluates the gate and, while the gate waits, polls the replicas.
 func (a *attempt) acknowledge() {
 	if a.decide() != ack.Wait {
 		return
 	}
-	a.askReplicas()
+	a.queryReplicas()
 	n := a.number
-	a.p.after(askPause, func() {
-		if a.live(n) && a.m.Step() == core.StepCommitted {
+	a.p.after(replicaPollInterval, func() {
+		if a.isCurrent(n) && a.m.Step() == core.StepCommitted {
 			a.acknowledge()
 		}
 	})
 }
 
-// decide asks the gate and acts on its verdict.
+// decide evaluates the gate and acts on its decision.
 func (a *attempt) decide() ack.Verdict {
 	v := a.p.v
 	a.proof.SetGroup(v.group)
@@ -43,7 +43,7 @@
 	d := a.p.gate.Decide(a.write, a.proof, v.w.now)
 	switch d.Verdict {
 	case ack.Ack:
-		a.c.gated = v.w.now.Sub(a.write.Committed)
+		a.c.ackWait = v.w.now.Sub(a.write.Committed)
 		a.passThen(core.StepAcknowledged, func() { a.replied(0) })
 	case ack.Unknown:
 		a.fail(core.FailureUnacknowledged)
@@ -51,7 +51,7 @@
 	return d.Verdict
 }
 
-func (a *attempt) askReplicas() {
+func (a *attempt) queryReplicas() {
 	v := a.p.v
 	asked := v.w.now
 	n := a.number
@@ -63,7 +63,7 @@
 			st := s.status()
 			return func() {
 				a.proof.Observe(ack.Report{Asked: asked, Answered: v.w.now, Status: st})
-				if a.live(n) && a.m.Step() == core.StepCommitted {
+				if a.isCurrent(n) && a.m.Step() == core.StepCommitted {
 					a.decide()
 				}
 			}
--- a/scenario/caller.go
+++ b/scenario/caller.go
@@ -11,21 +11,21 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// requestDeadline is how long a caller waits, and patience what it adds before
-// it gives up on a proxy that is gone.
+// requestDeadline is the deadline of a request. callerGrace is how long after it the caller gives
+// up on a proxy that does not answer.
 const (
 	requestDeadline = 2 * time.Second
-	patience        = 500 * time.Millisecond
+	callerGrace     = 500 * time.Millisecond
 )
 
-// caller is one session of an application. It carries its token from proxy to
-// proxy, unless it lost it.
+// caller is one session of an application. It presents its token to each proxy that it uses, unless
+// it has lost the token.
 type caller struct {
 	name  string
 	token string
 }
 
-// Access of a call.
+// access is the kind of a call: write or read.
 type access uint8
 
 const (
@@ -33,12 +33,12 @@
 	accessRead
 )
 
-// call is one request of a caller, as the judges see it.
+// call is one request of a caller, with what the checkers need to know about it.
 type call struct {
 	id         int
 	caller     *caller
 	access     access
-	op         string // name for the matrix
+	op         string // operation name, for the matrix
 	row        string
 	key        string
 	durability profile.Durability
@@ -46,14 +46,14 @@
 	proxy      string
 	invoked    clock.Time
 	deadline   clock.Time
-	token      string        // what the session gave with it
-	marks      session.Marks // what the proxy read in the token
+	token      string        // session token sent with the request
+	marks      session.Marks // marks that the proxy decoded from the token
 
-	answered clock.Time // 0 while there is no answer
+	answered clock.Time // 0 until answered
 	outcome  outcome.Outcome
-	rows     int // what a read returned
+	rows     int // number of rows that a read returned
 	retry    time.Duration
-	gated    time.Duration // from the commit to the acknowledgement
+	ackWait  time.Duration // from the commit to the acknowledgement
 }
 
 func (w *World) caller(name string) *caller {
@@ -75,7 +75,7 @@
 	statements int
 }
 
-// start sends a request through a VM's proxy. The answer is in the call.
+// start sends a request through a VM's proxy. The answer is stored in the returned call.
 func (w *World) start(name, vmName string, r request) *call {
 	s := w.caller(name)
 	w.nextID++
@@ -88,12 +88,12 @@
 	w.history = append(w.history, c)
 	v := w.vm(vmName)
 	w.at(w.now.Add(w.delay()), func() { w.arrive(c, v) })
-	w.at(c.deadline.Add(patience), func() { w.reply(c, outcome.Unknown, 0, 0) })
+	w.at(c.deadline.Add(callerGrace), func() { w.reply(c, outcome.Unknown, 0, 0) })
 	return c
 }
 
-// arrive hands a call to a proxy. A caller sees a refused connection at once
-// and knows that its request did not run.
+// arrive delivers a call to a proxy. When the proxy refuses the connection, the caller gets its
+// answer immediately and knows that the request did not run.
 func (w *World) arrive(c *call, v *vm) {
 	if !v.up || v.proxy.refuses() {
 		w.reply(c, outcome.NotRun, 0, time.Second)
@@ -113,8 +113,8 @@
 
 func (w *World) wallClock() time.Time { return epoch.Add(w.now.Sub(startOfTime)) }
 
-// readToken verifies the caller's token, as a proxy does at connect. A refused
-// token refuses the connection, before anything ran.
+// readToken verifies the caller's token, as a proxy does at connect. An invalid token makes the
+// proxy refuse the connection before anything has run.
 func (w *World) readToken(c *call) bool {
 	if c.token == "" {
 		return true
@@ -128,7 +128,7 @@
 	return true
 }
 
-// issueToken gives the session a token that covers a write.
+// issueToken issues the session a token that covers a write.
 func (w *World) issueToken(c *call, pos timeline.Position) {
 	marks := session.Marks{}
 	if old, err := w.keys.Verify(c.caller.token, c.caller.name, w.wallClock()); err == nil {
@@ -137,7 +137,7 @@
 	marks.Raise(groupName, pos)
 	token, err := w.keys.Issue(c.caller.name, marks, w.wallClock())
 	if err != nil {
-		panic(err) // one group always fits
+		panic(err) // a token for one group is always short enough
 	}
 	c.caller.token = token
 }
@@ -155,7 +155,7 @@
 	return bytes.Repeat([]byte(id), session.MinKeyBytes)
 }
 
-// reply gives the caller its answer; only the first one counts.
+// reply delivers the answer to the caller; only the first answer counts.
 func (w *World) reply(c *call, o outcome.Outcome, rows int, retry time.Duration) {
 	if c.answered != 0 {
 		return
--- a/scenario/judge.go
+++ b/scenario/check.go
@@ -12,7 +12,7 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// Finding is one breach of what must always hold.
+// Finding is one violation of an invariant.
 type Finding struct {
 	// Rule is "lost", "twice", "ran", "superseded", "term-twice", "history",
 	// "reverted", "behind" or "no-primary".
@@ -23,47 +23,47 @@
 // String returns the rule and the detail.
 func (f Finding) String() string { return f.Rule + ": " + f.Detail }
 
-// Judge compares what callers were answered with what the servers executed. It
-// is to be called after Settle. It knows nothing of proxies.
+// Check compares the answers that callers received with what the servers executed. Call it after
+// Settle. It does not look at proxies.
 func (w *World) Judge() []Finding {
 	p := w.primary()
 	if p == nil {
 		return []Finding{{"no-primary", "no server can commit after all faults have ended"}}
 	}
 	var found []Finding
-	found = append(found, w.judgeLost(p)...)
-	found = append(found, w.judgeTwice(p)...)
-	found = append(found, w.judgeRan()...)
-	found = append(found, w.judgeSuperseded()...)
-	found = append(found, w.judgeTerms()...)
-	found = append(found, w.judgeConfiguration()...)
-	return append(found, w.judgeHistories(p)...)
+	found = append(found, w.checkLost(p)...)
+	found = append(found, w.checkTwice(p)...)
+	found = append(found, w.checkRan()...)
+	found = append(found, w.checkSuperseded()...)
+	found = append(found, w.checkTerms()...)
+	found = append(found, w.checkConfiguration()...)
+	return append(found, w.checkHistories(p)...)
 }
 
-// judgeLost finds confirmed writes that the surviving log does not have.
-func (w *World) judgeLost(p *server) []Finding {
+// checkLost reports confirmed writes that are missing from the surviving log.
+func (w *World) checkLost(p *server) []Finding {
 	var found []Finding
 	for _, c := range w.history {
 		if c.access != accessWrite || c.outcome != outcome.Done || c.durability != profile.Confirmed {
 			continue
 		}
-		kept := slices.ContainsFunc(p.log, func(e entry) bool {
+		retained := slices.ContainsFunc(p.log, func(e entry) bool {
 			return e.call == c.id || (c.key != "" && e.key == c.key)
 		})
-		if !kept {
+		if !retained {
 			found = append(found, Finding{"lost", describe(c)})
 		}
 	}
 	return found
 }
 
-// judgeTwice finds requests, by key or call, that took effect more than once.
-func (w *World) judgeTwice(p *server) []Finding {
+// checkTwice reports requests, identified by key or call, that took effect more than once.
+func (w *World) checkTwice(p *server) []Finding {
 	var found []Finding
 	seen := map[string]bool{}
 	for _, e := range p.log {
 		if e.call == 0 {
-			continue // the start of a term
+			continue // entry that begins a term
 		}
 		id := e.key
 		if id == "" {
@@ -77,9 +77,9 @@
 	return found
 }
 
-// judgeRan finds requests that were refused as "not run" and ran, on any server
-// and also where the effect was discarded later.
-func (w *World) judgeRan() []Finding {
+// checkRan reports requests that were refused as "not run" but ran on some server, even if their
+// effect was discarded later.
+func (w *World) checkRan() []Finding {
 	var found []Finding
 	for _, c := range w.history {
 		if c.outcome == outcome.NotRun && c.answered != 0 && len(w.executions(c)) > 0 {
@@ -101,10 +101,10 @@
 	return all
 }
 
-// judgeSuperseded finds acknowledged writes that only ran on a primary when a
-// server of a later term was already leading. A keyed write may be acknowledged
-// by the run that another call with its key had.
-func (w *World) judgeSuperseded() []Finding {
+// checkSuperseded reports acknowledged writes all of whose executions happened when a server of a
+// later term had already been promoted. A keyed write may be acknowledged on the strength of an
+// execution by another call with the same key.
+func (w *World) checkSuperseded() []Finding {
 	var found []Finding
 	for _, c := range w.history {
 		if c.access != accessWrite || c.outcome != outcome.Done {
@@ -123,8 +123,8 @@
 	return found
 }
 
-// judgeTerms finds terms in which two servers led.
-func (w *World) judgeTerms() []Finding {
+// checkTerms reports terms in which two servers were primary.
+func (w *World) checkTerms() []Finding {
 	var found []Finding
 	leader := map[timeline.Term]string{}
 	for _, s := range w.servers {
@@ -149,10 +149,9 @@
 	return false
 }
 
-// judgeHistories checks with porcupine that the callers' answers are those of
-// one row that each write adds to. Rows with witnessed writes are left out:
-// those may be lost by a crash, and say so.
-func (w *World) judgeHistories(p *server) []Finding {
+// checkHistories checks each row for linearizability: a row is a counter that each write
+// increments. Rows with witnessed writes are skipped, as a crash may lose those writes by design.
+func (w *World) checkHistories(p *server) []Finding {
 	var found []Finding
 	for _, row := range w.rows() {
 		if !porcupine.CheckOperations(rowModel, w.operations(row, p)) {
@@ -176,10 +175,10 @@
 	return slices.DeleteFunc(rows, func(r string) bool { return witnessed[r] })
 }
 
-// rowInput and rowOutput are one operation on a row.
+// rowInput and rowOutput are the input and output of one operation on a row.
 type rowInput struct {
 	read bool
-	id   string // the key, or the call for a write without one
+	id   string // the key, or the call id of a write without a key
 }
 
 type rowOutput struct {
@@ -187,7 +186,7 @@
 	rows    int
 }
 
-// rowState counts the writes that must be there, and lists those that may be.
+// rowState lists the writes that must be present (done) and those that may be (maybe).
 type rowState struct{ done, maybe string }
 
 var rowModel = porcupine.Model{
@@ -214,9 +213,9 @@
 	return true, s
 }
 
-// operations lists what happened to a row as porcupine wants it. A write of
-// unknown outcome may take effect at any later time. The surviving log is read
-// as the last operation. A session's reads count from its first own write on.
+// operations returns the history of a row in porcupine's form. A write of unknown outcome may take
+// effect at any later time. The row in the surviving log is added as a final read. A session's
+// reads count only after its first own write.
 func (w *World) operations(row string, p *server) []porcupine.Operation {
 	var ops []porcupine.Operation
 	end := 2 * int64(w.now)
@@ -249,8 +248,8 @@
 	if id == "" {
 		id = fmt.Sprint("call-", c.id)
 	}
-	// A request that is made in the instant of an answer comes after it, so
-	// instants are doubled and calls moved to the odd ones.
+	// A request that is made at the same time as another one's answer comes after that answer:
+	// times are doubled, and calls moved to the odd values.
 	op := porcupine.Operation{
 		ClientId: client, Input: rowInput{read: c.access == accessRead, id: id}, Call: 2*int64(c.invoked) + 1,
 		Output: rowOutput{outcome: c.outcome, rows: c.rows}, Return: 2 * int64(c.answered),
--- a/scenario/configuration.go
+++ b/scenario/configuration.go
@@ -10,24 +10,24 @@
 	"endivemoor.example/endivemoor/store"
 )
 
-// GuardGeneration is the rule that a VM takes no older configuration.
+// GuardGeneration is the rule that a VM does not accept an older configuration.
 const GuardGeneration guard.Name = "publication/accept"
 
 const (
 	configurationKey = "profiles/current"
-	// offerEvery is the interval at which a VM offers its configuration to a
-	// peer and reads the store's.
-	offerEvery = 300 * time.Millisecond
+	// offerInterval is the interval at which a VM offers its configuration to a peer and reads the
+	// one in the store.
+	offerInterval = 300 * time.Millisecond
 )
 
-// inForce is a configuration that a VM put in force, for the judge.
+// inForce records that a VM put a configuration in force, for the checker.
 type inForce struct {
-	vm    string
-	epoch int
-	what  publication.Version
+	vm      string
+	epoch   int
+	version publication.Version
 }
 
-// Publish makes a generation the accepted one, as one update of the store.
+// Publish stores a generation as the accepted one, in one update of the store.
 func (w *World) Publish(generation int) error {
 	o := w.store.objects[configurationKey]
 	v := publication.Version{Generation: profile.Generation(generation), Digest: fmt.Sprint("digest-", generation)}
@@ -35,25 +35,26 @@
 	return err
 }
 
-// spread lets a VM read the store's configuration and offer its own to a peer.
-func (v *vm) spread() {
+// exchangeConfiguration reads the configuration from the store and offers the VM's own to a random
+// peer.
+func (v *vm) exchangeConfiguration() {
 	v.w.getFrom(v.node, configurationKey, func(o store.Object, err error) {
 		if err == nil {
 			var stored publication.Version
 			mustUnmarshal(o.Value, &stored)
-			v.offered(stored)
+			v.receiveOffer(stored)
 		}
 	})
 	peer := v.w.vms[v.w.rng.IntN(len(v.w.vms))]
 	if peer != v && v.configuration.Generation > 0 {
 		mine := v.configuration
-		v.w.send(v.node, peer.node, v.w.delay(), func() { peer.offered(mine) })
+		v.w.send(v.node, peer.node, v.w.delay(), func() { peer.receiveOffer(mine) })
 	}
-	v.w.after(v.node, offerEvery, v.spread)
+	v.w.after(v.node, offerInterval, v.exchangeConfiguration)
 }
 
-// offered takes a configuration if the core says so.
-func (v *vm) offered(offer publication.Version) {
+// receiveOffer puts an offered configuration in force if publication.Accept allows it.
+func (v *vm) receiveOffer(offer publication.Version) {
 	verdict := publication.Accept(v.configuration, offer)
 	if verdict == publication.Older && v.w.guards.Out(GuardGeneration) {
 		verdict = publication.Take
@@ -62,19 +63,19 @@
 		return
 	}
 	v.configuration = offer
-	v.w.inForce = append(v.w.inForce, inForce{vm: v.name, epoch: v.epoch, what: offer})
+	v.w.inForce = append(v.w.inForce, inForce{vm: v.name, epoch: v.epoch, version: offer})
 	v.w.logf("%s generation=%d in force", v.name, offer.Generation)
 }
 
-// judgeConfiguration finds VMs that went back to an older configuration, or
-// that have not reached the accepted one.
-func (w *World) judgeConfiguration() []Finding {
+// checkConfiguration reports VMs that reverted to an older configuration or have not reached the
+// accepted one.
+func (w *World) checkConfiguration() []Finding {
 	var found []Finding
 	newest := map[string]inForce{}
 	for _, f := range w.inForce {
 		before, ok := newest[f.vm]
-		if ok && before.epoch == f.epoch && f.what.Generation < before.what.Generation {
-			found = append(found, Finding{"reverted", fmt.Sprintf("%s to generation %d", f.vm, f.what.Generation)})
+		if ok && before.epoch == f.epoch && f.version.Generation < before.version.Generation {
+			found = append(found, Finding{"reverted", fmt.Sprintf("%s to generation %d", f.vm, f.version.Generation)})
 		}
 		newest[f.vm] = f
 	}
--- a/scenario/faults_test.go
+++ b/scenario/faults_test.go
@@ -9,30 +9,31 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// pauseTime is longer than a lease.
-const pauseTime = 7 * time.Second
+// pauseDuration is longer than a lease.
+const pauseDuration = 7 * time.Second
 
-// fault strikes at a step and returns how to learn if it took effect.
+// fault is injected at a step. inject returns a function that reports whether the fault took
+// effect.
 type fault struct {
 	name   string
-	strike func(w *World, s Strike) (struck func() bool)
+	inject func(w *World, s Strike) (tookEffect func() bool)
 }
 
-// counted is a fault whose effect the world counts.
-func counted(name, effect string, strike func(w *World, s Strike)) fault {
+// counted returns a fault whose effects the world counts.
+func counted(name, effect string, inject func(w *World, s Strike)) fault {
 	return fault{name, func(w *World, s Strike) func() bool {
 		before := w.effects[effect]
-		strike(w, s)
+		inject(w, s)
 		return func() bool { return w.effects[effect] > before }
 	}}
 }
 
-// faults are those of the users' brief.
+// faults are the faults that the users' requirements name.
 var faults = []fault{
-	counted("cut-from-peers", effectCut, func(w *World, s Strike) { w.cutFrom(victim(w, s), "peers") }),
-	counted("cut-from-callers", effectCut, func(w *World, s Strike) { w.cutFrom(victim(w, s), "callers") }),
-	counted("crash", effectKill, func(w *World, s Strike) { w.Kill(victim(w, s)) }),
-	counted("freeze", effectPause, func(w *World, s Strike) { w.pauseFor(victim(w, s)) }),
+	counted("cut-from-peers", effectCut, func(w *World, s Strike) { w.cutFrom(faultTarget(w, s), "peers") }),
+	counted("cut-from-callers", effectCut, func(w *World, s Strike) { w.cutFrom(faultTarget(w, s), "callers") }),
+	counted("crash", effectKill, func(w *World, s Strike) { w.Kill(faultTarget(w, s)) }),
+	counted("freeze", effectPause, func(w *World, s Strike) { w.pauseFor(faultTarget(w, s)) }),
 	counted("replicas-behind", effectLag, replicasBehind),
 	counted("proxy-killed", effectKill, func(w *World, s Strike) { w.Kill(s.Node) }),
 	counted("proxy-paused", effectPause, func(w *World, s Strike) { w.pauseFor(s.Node) }),
@@ -40,14 +41,14 @@
 	counted("store-down", effectDown, func(w *World, _ Strike) { w.store.down = true }),
 	counted("store-slow", effectSlow, func(w *World, _ Strike) { w.store.slow = 2 * time.Second }),
 	counted("store-loses", effectLost, func(w *World, _ Strike) { w.store.loseAnswers += 2 }),
-	counted("answers-late", effectLate, func(w *World, s Strike) { w.net.late[victim(w, s)] = true }),
-	counted("answers-twice", effectDuplicate, func(w *World, s Strike) { w.net.duplicate[victim(w, s)] = true }),
+	counted("answers-late", effectLate, func(w *World, s Strike) { w.net.late[faultTarget(w, s)] = true }),
+	counted("answers-twice", effectDuplicate, func(w *World, s Strike) { w.net.duplicate[faultTarget(w, s)] = true }),
 	counted("connection-lost", effectReset, connectionLost),
 	counted("operators-race", effectRace, operatorsRace),
 }
 
-// victim is the server that a step is about, else the primary.
-func victim(w *World, s Strike) string {
+// faultTarget returns the server that a step concerns, or else the primary.
+func faultTarget(w *World, s Strike) string {
 	if s.Server != "" {
 		return s.Server
 	}
@@ -65,14 +66,14 @@
 	}
 }
 
-// connectionLost breaks the connections just after a request that is sent now
-// took effect, and before its answer is back.
+// connectionLost breaks the server's connections after a request that is sent now has taken effect
+// and before its answer arrives.
 func connectionLost(w *World, s Strike) {
-	name := victim(w, s)
-	w.at(w.now.Add(oneWay*8/5), func() { w.Reset(name) })
+	name := faultTarget(w, s)
+	w.at(w.now.Add(minOneWayDelay*8/5), func() { w.Reset(name) })
 }
 
-// operatorsRace lets two operators order different changes of primary at once.
+// operatorsRace makes operators order different changes of primary at the same time.
 func operatorsRace(w *World, _ Strike) {
 	w.effects[effectRace]++
 	w.at(w.now, func() {
@@ -86,10 +87,10 @@
 
 func (w *World) pauseFor(name string) {
 	w.Pause(name)
-	w.at(w.now.Add(pauseTime), func() { w.Resume(name) })
+	w.at(w.now.Add(pauseDuration), func() { w.Resume(name) })
 }
 
-// cutZone cuts all that is in one availability zone off from the rest.
+// cutZone cuts everything in one availability zone off from the other zones.
 func (w *World) cutZone(zone string) {
 	inside := map[string]bool{}
 	for _, v := range w.vms {
@@ -105,10 +106,10 @@
 	}
 }
 
-// operationCase is an operation with the steps at which faults strike.
+// operationCase is an operation with the steps at which faults are injected.
 type operationCase struct {
 	name    string
-	strikes string // Strike.Op of its steps
+	eventOp string // Op of the events of its steps
 	steps   []string
 	run     func(w *World)
 }
@@ -143,19 +144,19 @@
 	}},
 	{"write", "write", requestSteps(), func(w *World) {
 		w.start("alice", "a", request{op: "write", row: "alice"})
-		w.Advance(requestDeadline + patience)
+		w.Advance(requestDeadline + callerGrace)
 		w.start("alice", "b", request{op: "read", access: accessRead, row: "alice"})
 	}},
 	{"transaction", "transaction", requestSteps(), func(w *World) {
 		w.start("alice", "b", request{op: "transaction", row: "alice", statements: 4})
-		w.Advance(requestDeadline + patience)
+		w.Advance(requestDeadline + callerGrace)
 		w.start("alice", "c", request{op: "read", access: accessRead, row: "alice"})
 	}},
 	{"retry", "purchase", requestSteps(), func(w *World) {
 		w.start("alice", "a", request{op: "purchase", row: "alice", key: "k7"})
 		w.Advance(300 * time.Millisecond)
 		w.start("alice", "b", request{op: "again", row: "alice", key: "k7"})
-		w.Advance(requestDeadline + patience)
+		w.Advance(requestDeadline + callerGrace)
 		w.start("alice", "c", request{op: "again", row: "alice", key: "k7"})
 	}},
 	{"roaming", "roam", requestSteps(core.StepCommitSent, core.StepCommitted), func(w *World) {
--- a/scenario/guards_test.go
+++ b/scenario/guards_test.go
@@ -13,9 +13,9 @@
 	"endivemoor.example/endivemoor/outcome"
 )
 
-// guardCase is a script in which one guard decides. With the guard every judge
-// is content; without it the judges report the rule. Seeds differ in the order
-// of messages: with the guard all must hold, without it one of them must break.
+// guardCase is a script whose outcome depends on one guard. With the guard, no checker reports
+// anything; without it, the checkers report the rule. Seeds differ in the order of messages: with
+// the guard every seed must pass, and without it at least one must fail.
 type guardCase struct {
 	guard  guard.Name
 	rule   string
@@ -24,21 +24,21 @@
 }
 
 var guardCases = []guardCase{
-	// The first server that promises is the one that lags; the other one, which
-	// holds the confirmed purchase, is not asked.
+	// The first server that promises is the lagging one; the other server, which has the confirmed
+	// purchase, is not queried.
 	{failover.GuardMajority, "lost", 12, `
 		lag s2 30s
 		write alice purchase row=alice at a
 		kill s1
 		advance 3s`},
-	// Both replicas promise; the shorter log is chosen, and the confirmed
-	// purchase is gone.
+	// Both replicas promise; the one with the shorter log is chosen, and the confirmed purchase is
+	// lost.
 	{failover.GuardHighest, "lost", 1, `
 		lag s2 30s
 		write alice purchase row=alice at a
 		kill s1
 		advance 3s`},
-	// Two VMs count up to the same term, each with a majority of its own.
+	// Two VMs pick the same next term, and each obtains a majority of its own.
 	{failover.GuardReserve, "term-twice", 1, `
 		cut c from s2
 		cut a from s3
@@ -50,8 +50,8 @@
 		advance 4s
 		resume c
 		advance 1s`},
-	// The candidate leads, but its answer is lost. The same term is given to a
-	// second candidate.
+	// The candidate is promoted, but its answer is lost. The same term is then assigned to a second
+	// candidate.
 	{failover.GuardOneCandidate, "term-twice", 1, `
 		freeze s1
 		cut c from store
@@ -60,12 +60,13 @@
 		advance 600ms
 		resume s1
 		advance 2s`},
-	// One VM cannot reach a healthy primary. It must not depose it alone.
+	// One VM cannot reach a healthy primary. It must not replace the primary on its own observation
+	// alone.
 	{failover.GuardZones, "deposed", 1, `
 		cut c from s1
 		advance 5s
 		write alice purchase row=alice at a`},
-	// Two VMs wake after five seconds with old evidence of everything.
+	// Two VMs resume after a pause of five seconds, with only outdated evidence about all servers.
 	{failover.GuardPause, "deposed", 60, `
 		pause b
 		pause c
@@ -73,11 +74,12 @@
 		resume b
 		resume c
 		advance 2s`},
-	// A proxy cut off with the old primary has a replica's word from before.
+	// A proxy that is cut off together with the old primary has a replica's status from before the
+	// write.
 	{ack.GuardAskedAfter, "superseded", 1, cutOffWithA + `
 		advance 1s
 		write alice note row=alice durability=witnessed at a`},
-	// The replica that the proxy still reaches has been fenced meanwhile.
+	// The replica that the proxy still reaches has been fenced in the meantime.
 	{ack.GuardPromised, "superseded", 1, `
 		cut s1 from s2
 		cut s1 from s3
@@ -89,7 +91,7 @@
 		cut a from store
 		advance 2s
 		write alice note row=alice durability=witnessed at a`},
-	// The write is on the primary alone when it is acknowledged.
+	// Only the primary has the write when it is acknowledged.
 	{ack.GuardReached, "lost", 1, `
 		lag s2 30s
 		lag s3 30s
@@ -109,20 +111,21 @@
 		write bob purchase row=bob at b
 		write bob purchase row=bob at b
 		advance 3s`},
-	// The proxy goes at once, with a transaction in flight.
+	// The proxy exits immediately, with a transaction in flight.
 	{drain.GuardInFlight, "cut", 1, `
 		start write alice transfer row=alice statements=900 at a
 		advance 20ms
 		shutdown a
 		advance 5s`},
-	// The session reads at a replica that is behind its own write.
+	// The session reads from a replica that has not yet applied the session's own write.
 	{GuardFloor, "history", 6, `
 		lag s3 30s
 		write alice purchase row=alice at a
 		read alice row=alice at c
 		read alice row=alice at c
 		read alice row=alice at c`},
-	// A session without its token asks beside a superseded primary.
+	// A session without its token reads through a proxy that is cut off together with a superseded
+	// primary.
 	{GuardWitnessedFloor, "history", 1, `
 		lag s2 30s
 		lag s3 30s
@@ -133,19 +136,20 @@
 		write alice purchase row=alice at b
 		forget alice
 		read alice row=alice at a`},
-	// The application asks again while the first run waits for its proof.
+	// The application repeats the request while the first run still waits for its acknowledgement.
 	{GuardKey, "twice", 1, `
 		on purchase committed pause a
 		start write alice purchase row=alice key=k7 at a
 		advance 200ms
 		write alice again row=alice key=k7 at b
 		resume a`},
-	// The write was sent and committed; its proof does not come in time.
+	// The write was sent and committed; the evidence for its acknowledgement does not arrive in
+	// time.
 	{GuardOutcome, "ran", 1, `
 		lag s2 30s
 		lag s3 30s
 		write alice order row=alice at a`},
-	// A VM wakes after a pause and offers its old configuration to the others.
+	// A VM resumes after a pause and offers its outdated configuration to the others.
 	{GuardGeneration, "reverted", 3, `
 		publish 1
 		advance 1s
@@ -155,13 +159,14 @@
 		store down
 		resume b
 		advance 2s`},
-	// The connection breaks after the commit and before its answer.
+	// The connection breaks after the commit and before its answer arrives.
 	{GuardRepeat, "twice", 1, `
 		on order commit-sent in 800us reset s1
 		write alice order row=alice at a`},
 }
 
-// cutOffWithA cuts the primary s1 and the proxy a, together, off from the rest.
+// cutOffWithA cuts the primary s1 and proxy a off together from the other servers and VMs, and
+// proxy a from the store.
 const cutOffWithA = `
 		cut s1 from s2
 		cut s1 from s3
@@ -173,28 +178,29 @@
 		cut a from s3
 		cut a from store`
 
-// play runs a script and returns what the judges find.
-func (c guardCase) play(t *testing.T, seed uint64, out guard.Set) []Finding {
-	w := Standard(seed, out)
+// play runs a script and returns what the checkers find. disabled is the set of guards that are
+// taken out.
+func (c guardCase) play(t *testing.T, seed uint64, disabled guard.Set) []Finding {
+	w := Standard(seed, disabled)
 	runLines(t, w, c.script)
 	var found []Finding
 	switch c.rule {
 	case "cut":
-		found = w.judgeCut()
+		found = w.checkInterrupted()
 	case "deposed":
-		found = w.judgeDeposed()
+		found = w.checkNeedlessPromotion()
 	}
 	w.Settle()
 	found = append(found, w.Judge()...)
 	if testing.Verbose() {
-		t.Logf("seed %d without %v: %v\n%s", seed, out, found, w.TakeTrace())
+		t.Logf("seed %d without %v: %v\n%s", seed, disabled, found, w.TakeTrace())
 	}
 	return found
 }
 
-// judgeDeposed finds promotions in a script that leaves every server healthy
-// and in reach of most VMs.
-func (w *World) judgeDeposed() []Finding {
+// checkNeedlessPromotion reports promotions in a script in which every server stays healthy and
+// most VMs reach it.
+func (w *World) checkNeedlessPromotion() []Finding {
 	for _, s := range w.servers {
 		if len(s.promoted) > 0 {
 			return []Finding{{"deposed", string(s.id) + " was promoted over a healthy primary"}}
@@ -203,8 +209,8 @@
 	return nil
 }
 
-// judgeCut finds requests that a graceful shutdown cut.
-func (w *World) judgeCut() []Finding {
+// checkInterrupted reports requests that a graceful shutdown interrupted.
+func (w *World) checkInterrupted() []Finding {
 	var found []Finding
 	for _, c := range w.history {
 		v := w.vm(c.proxy)
@@ -224,17 +230,17 @@
 	return false
 }
 
-// TestEveryGuardIsNeeded plays each guard's script with the guard, and without
-// it. A judge that stays content without the guard proves nothing.
+// TestEveryGuardIsNeeded runs each guard's script with and without the guard. If the checkers
+// report nothing without the guard, the script does not test the guard.
 func TestEveryGuardIsNeeded(t *testing.T) {
 	for _, c := range guardCases {
 		t.Run(strings.ReplaceAll(string(c.guard), "/", "-"), func(t *testing.T) {
-			red := false
+			broken := false
 			for seed := uint64(1); seed <= c.seeds; seed++ {
 				require.Empty(t, c.play(t, seed, nil), "with the guard, seed %d", seed)
-				red = red || hasRule(c.play(t, seed, guard.Without(c.guard)), c.rule)
+				broken = broken || hasRule(c.play(t, seed, guard.Without(c.guard)), c.rule)
 			}
-			require.True(t, red, "no judge misses the guard")
+			require.True(t, broken, "no checker reports the violation without the guard")
 		})
 	}
 }
--- a/scenario/matrix_test.go
+++ b/scenario/matrix_test.go
@@ -18,15 +18,15 @@
 )
 
 var (
-	matrixAll  = flag.Bool("matrix.all", false, "run every pair of faults, not a sample")
+	matrixAll  = flag.Bool("matrix.all", false, "run every pair of faults instead of a sample")
 	matrixCell = flag.String("matrix.cell", "", "run one cell only, such as write/committed/crash+store-down")
 	matrixSeed = flag.Uint64("matrix.seed", 1, "seed of every cell")
 )
 
-// pairStride is the part of the pairs that an ordinary run tries: one in so many.
+// pairStride selects the pairs of an ordinary run: one in pairStride.
 const pairStride = 20
 
-// cell is an operation with one or two faults that strike at one of its steps.
+// cell is an operation with one or two faults that are injected at one of its steps.
 type cell struct {
 	op     operationCase
 	step   string
@@ -41,45 +41,45 @@
 	return c.op.name + "/" + c.step + "/" + strings.Join(names, "+")
 }
 
-// result is what became of a cell.
+// result is the outcome of a cell.
 type result struct {
-	cell   cell
-	struck bool
-	found  []Finding
+	cell       cell
+	tookEffect bool
+	found      []Finding
 }
 
-// run plays one cell: the operation among other callers' work, the faults at
-// the step, the end of all faults, and the judges.
+// run executes one cell: the operation with background load, the faults at the step, the end of all
+// faults, and the checkers.
 func (c cell) run(seed uint64, guards guard.Set) (r result) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			r = result{cell: c, struck: true, found: []Finding{{"endless", fmt.Sprint(cause)}}}
+			r = result{cell: c, tookEffect: true, found: []Finding{{"endless", fmt.Sprint(cause)}}}
 		}
 	}()
 	w := Standard(seed, guards)
-	struck := make([]func() bool, 0, len(c.faults))
-	w.Trap(c.op.strikes, c.step, func(s Strike) {
+	tookEffect := make([]func() bool, 0, len(c.faults))
+	w.Trap(c.op.eventOp, c.step, func(s Strike) {
 		for _, f := range c.faults {
-			struck = append(struck, f.strike(w, s))
+			tookEffect = append(tookEffect, f.inject(w, s))
 		}
 	})
 	w.background()
 	c.op.run(w)
 	w.Advance(9 * time.Second)
-	r = result{cell: c, struck: len(struck) > 0}
-	for _, took := range struck {
-		r.struck = r.struck && took()
+	r = result{cell: c, tookEffect: len(tookEffect) > 0}
+	for _, effect := range tookEffect {
+		r.tookEffect = r.tookEffect && effect()
 	}
 	w.Settle()
-	r.found = append(w.judgeService(), w.Judge()...)
+	r.found = append(w.checkService(), w.Judge()...)
 	if *matrixCell != "" {
 		fmt.Fprint(os.Stdout, w.TakeTrace())
 	}
 	return r
 }
 
-// judgeService finds a fleet that does not serve once all faults have ended.
-func (w *World) judgeService() []Finding {
+// checkService reports VMs that do not serve requests once all faults have ended.
+func (w *World) checkService() []Finding {
 	var found []Finding
 	for _, v := range w.vms {
 		c := w.start("probe-"+v.name, v.name, request{op: "probe", row: "probe-" + v.name, key: "probe-" + v.name})
@@ -91,8 +91,8 @@
 	return found
 }
 
-// background lets two callers buy and read through all proxies meanwhile. A
-// purchase of unknown outcome is asked for again, through the next proxy.
+// background makes one session write and read through all proxies during the run. A purchase of
+// unknown outcome is repeated through the next proxy.
 func (w *World) background() {
 	for i := range 12 {
 		at := w.now.Add(time.Duration(i)*370*time.Millisecond + 100*time.Millisecond)
@@ -106,14 +106,14 @@
 
 func (w *World) buyUntilKnown(key string, at, tries int) {
 	c := w.start("bob", w.vms[at%3].name, request{op: "other", row: "bob", key: key})
-	w.at(c.deadline.Add(patience+time.Millisecond), func() {
+	w.at(c.deadline.Add(callerGrace+time.Millisecond), func() {
 		if c.outcome.String() != "done" && tries > 0 {
 			w.buyUntilKnown(key, at+1, tries-1)
 		}
 	})
 }
 
-// cells lists all single faults, and then all pairs at one step.
+// cells returns all cells with a single fault, and all cells with a pair of faults at one step.
 func cells() (single, pairs []cell) {
 	for _, op := range operationCases {
 		for _, step := range op.steps {
@@ -166,9 +166,10 @@
 	return results
 }
 
-// TestFaultMatrix strikes every operation at each of its steps with every
-// fault, and a sample of the pairs. It prints the failing cells, then totals. To
-// repeat one cell: go test ./scenario -run TestFaultMatrix -matrix.cell <name>.
+// TestFaultMatrix injects every fault, and a sample of the pairs of faults, at each step of every
+// operation. It prints the failing cells and then the totals. To repeat one cell:
+//
+//	go test ./scenario -run TestFaultMatrix -matrix.cell <name>
 func TestFaultMatrix(t *testing.T) {
 	totals := map[string]*tally{}
 	failed := 0
@@ -188,17 +189,17 @@
 	for _, op := range operationCases {
 		printTally(op.name, totals[op.name])
 	}
-	printNotStruck(results)
+	printWithoutEffect(results)
 	printTally("all", totals["all"])
 	require.Zero(t, failed, "cells failed")
 }
 
-// printNotStruck prints which single faults never took effect, and where: a
-// fault of something that the operation does not use is no proof of anything.
-func printNotStruck(results []result) {
+// printWithoutEffect prints which single faults never took effect, and in which operations. A fault
+// in something that the operation does not use proves nothing.
+func printWithoutEffect(results []result) {
 	count := map[string]int{}
 	for _, r := range results {
-		if !r.struck && len(r.cell.faults) == 1 {
+		if !r.tookEffect && len(r.cell.faults) == 1 {
 			count[r.cell.faults[0].name+" at "+r.cell.op.name]++
 		}
 	}
@@ -207,16 +208,16 @@
 	}
 }
 
-// tally counts cells. A failed cell counts as failed also if not struck.
-type tally struct{ tried, passed, failed, notStruck int }
+// tally counts cells. A cell with findings counts as failed even if its fault did not take effect.
+type tally struct{ tried, passed, failed, withoutEffect int }
 
 func (t *tally) count(r result) {
 	t.tried++
 	switch {
 	case len(r.found) > 0:
 		t.failed++
-	case !r.struck:
-		t.notStruck++
+	case !r.tookEffect:
+		t.withoutEffect++
 	default:
 		t.passed++
 	}
@@ -227,5 +228,5 @@
 		return
 	}
 	fmt.Fprintf(os.Stdout, "matrix %-12s tried=%d passed=%d failed=%d not-struck=%d\n",
-		name, t.tried, t.passed, t.failed, t.notStruck)
+		name, t.tried, t.passed, t.failed, t.withoutEffect)
 }
--- a/scenario/net.go
+++ b/scenario/net.go
@@ -4,34 +4,34 @@
 	"time"
 )
 
-// oneWay is the least time of a message between two nodes; up to half as much
-// again is added at random.
-const oneWay = 500 * time.Microsecond
+// minOneWayDelay is the minimum delay of a message between two nodes. A random extra of up to half
+// of it is added.
+const minOneWayDelay = 500 * time.Microsecond
 
-// lateness is how long a message of a late node is held.
-const lateness = 900 * time.Millisecond
+// lateAnswerDelay is the additional delay of answers from a node whose answers are late.
+const lateAnswerDelay = 900 * time.Millisecond
 
-// node is anything that sends and receives: a VM, a server, or the store.
+// node is a sender and receiver of messages: a VM, a server or the store.
 type node struct {
 	name   string
 	up     bool
 	paused bool
-	// epoch counts restarts: what was meant for a former life is dropped.
+	// epoch counts restarts: events scheduled for an earlier incarnation are dropped.
 	epoch int
 	inbox []func()
-	// resets counts how often all connections to the node broke.
+	// resets counts how often all connections to the node were broken.
 	resets int
 }
 
-// network holds the faults between nodes.
+// network contains the faults between nodes.
 type network struct {
-	cut       map[[2]string]bool // one way: from, to
-	late      map[string]bool    // answers of this node come late
-	duplicate map[string]bool    // answers of this node come twice
+	cut       map[[2]string]bool // key: from, to; one direction only
+	late      map[string]bool    // nodes whose answers are delayed
+	duplicate map[string]bool    // nodes whose answers are delivered twice
 }
 
-// Effects that World.effects counts, so that a fault which never changed
-// anything is not taken for a pass.
+// Effects that World.effects counts, so that a fault which never took effect is not counted as a
+// pass.
 const (
 	effectCut       = "cut"
 	effectLate      = "late"
@@ -60,13 +60,13 @@
 	return n
 }
 
-// Cut drops messages from one node to another, in that direction.
+// Cut drops messages from one node to another, in that direction only.
 func (w *World) Cut(from, to string) { w.net.cut[[2]string{from, to}] = true }
 
-// Heal ends all cuts, late and doubled answers.
+// Heal removes all cuts and ends late and duplicated answers.
 func (w *World) Heal() { w.net = newNetwork() }
 
-// Isolate cuts a node off from all others that match.
+// Isolate cuts a node off from all other nodes that match.
 func (w *World) Isolate(name string, match func(other string) bool) {
 	for other := range w.nodes {
 		if other != name && match(other) {
@@ -76,14 +76,14 @@
 	}
 }
 
-// Reset breaks all connections to a node: answers under way are lost, and their
-// callers learn that the connection broke.
+// Reset breaks all connections to a node: answers in transit are lost, and their callers see the
+// connection break.
 func (w *World) Reset(name string) { w.nodes[name].resets++ }
 
-// Pause stops a node; what arrives meanwhile waits.
+// Pause stops a node; messages that arrive meanwhile are queued.
 func (w *World) Pause(name string) { w.nodes[name].paused = true }
 
-// Resume lets a paused node go on with all that waited.
+// Resume continues a paused node and processes its queued messages.
 func (w *World) Resume(name string) {
 	n := w.nodes[name]
 	n.paused = false
@@ -94,7 +94,7 @@
 	}
 }
 
-// Kill ends a node; its memory is gone, a server's log stays.
+// Kill ends a node's process. Its memory is lost; a server's log is retained.
 func (w *World) Kill(name string) {
 	n := w.nodes[name]
 	if n.up {
@@ -106,7 +106,8 @@
 	n.inbox = nil
 }
 
-// runOn runs f on a node unless it is of a former life.
+// runOn runs f on a node, unless the node is down or has restarted since epoch. If the node is
+// paused, f runs when it resumes.
 func (w *World) runOn(n *node, epoch int, f func()) {
 	switch {
 	case !n.up || n.epoch != epoch:
@@ -118,17 +119,17 @@
 	}
 }
 
-// after runs f on the node once d has passed there.
+// after runs f on the node after d.
 func (w *World) after(n *node, d time.Duration, f func()) {
 	epoch := n.epoch
 	w.at(w.now.Add(d), func() { w.runOn(n, epoch, f) })
 }
 
 func (w *World) delay() time.Duration {
-	return oneWay + time.Duration(w.rng.Int64N(int64(oneWay/2)))
+	return minOneWayDelay + time.Duration(w.rng.Int64N(int64(minOneWayDelay/2)))
 }
 
-// send delivers f to a node, unless the way is cut when it arrives.
+// send delivers f to a node, unless the direction is cut at delivery time.
 func (w *World) send(from, to *node, d time.Duration, f func()) {
 	epoch := to.epoch
 	w.at(w.now.Add(d), func() {
@@ -138,7 +139,7 @@
 	})
 }
 
-// dropped reports whether the way between two nodes is cut.
+// dropped reports whether messages between two nodes are cut, and counts the effect.
 func (w *World) dropped(from, to *node) bool {
 	cut := w.net.cut[[2]string{from.name, to.name}]
 	if cut {
@@ -147,9 +148,9 @@
 	return cut
 }
 
-// call sends a request to a node and its answer back. handle runs there and
-// returns what is to run here with the answer; nil means no answer. refused
-// runs here when the node is down, as a refused connection does.
+// call sends a request to a node and its answer back. handle runs on the destination and returns
+// what the caller then runs with the answer; nil means that there is no answer. refused runs on the
+// caller when the destination is down, as for a refused connection.
 func (w *World) call(from, to *node, handle func() func(), refused func()) {
 	fromEpoch := from.epoch
 	w.at(w.now.Add(w.delay()), func() {
@@ -168,7 +169,7 @@
 	})
 }
 
-// unlessReset turns an answer into a lost connection if that broke meanwhile.
+// unlessReset replaces an answer by a lost connection if the connection broke in the meantime.
 func (w *World) unlessReset(to *node, resets int, reply, lost func()) func() {
 	if reply == nil {
 		return nil
@@ -194,7 +195,7 @@
 	}
 	d := w.delay()
 	if w.net.late[to.name] {
-		d += lateness
+		d += lateAnswerDelay
 		w.effects[effectLate]++
 	}
 	w.send(to, from, d, guarded)
--- a/scenario/proxy.go
+++ b/scenario/proxy.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// retryPause is the wait before another attempt at a request.
-	retryPause = 50 * time.Millisecond
-	// askPause is the interval between questions to replicas for the gate.
-	askPause = 5 * time.Millisecond
-	// retryAfter is what a refused caller is told.
+	// retryDelay is the wait before a request is retried.
+	retryDelay = 50 * time.Millisecond
+	// replicaPollInterval is the interval between status queries to replicas for the gate.
+	replicaPollInterval = 5 * time.Millisecond
+	// retryAfter is the retry-after of a refusal.
 	retryAfter = 500 * time.Millisecond
 )
 
-// proxy runs callers' requests on one VM: a thin driver of the core's request
-// machine, gates, sessions and router.
+// proxy runs callers' requests on one VM. It is a thin driver of the core's request machine, gates,
+// sessions and router.
 type proxy struct {
 	v        *vm
 	gate     ack.Gate
@@ -30,12 +30,12 @@
 	inFlight map[*attempt]bool
 }
 
-// attempt is one request under way in a proxy.
+// attempt is one request in progress in a proxy.
 type attempt struct {
 	p      *proxy
 	c      *call
 	m      *core.Machine
-	number int // of the try; answers to an earlier one are ignored
+	number int // of the current try; answers to an earlier try are ignored
 	done   bool
 	server target.ID
 	term   timeline.Term
@@ -57,12 +57,12 @@
 	}
 }
 
-// openBudget allows every retry: the matrix is about outcomes, not load.
-type openBudget struct{}
+// unlimitedBudget allows every retry: the matrix checks outcomes, not load.
+type unlimitedBudget struct{}
 
-func (openBudget) TryRetry(clock.Time) bool { return true }
+func (unlimitedBudget) TryRetry(clock.Time) bool { return true }
 
-// refuses reports whether new work is refused, as not run.
+// refuses reports whether the proxy refuses new work, with the outcome "not run".
 func (p *proxy) refuses() bool {
 	phase := p.drain.Phase()
 	return phase == drain.PhaseFinishing || phase == drain.PhaseDone
@@ -79,32 +79,33 @@
 
 func (p *proxy) after(d time.Duration, f func()) { p.v.w.after(p.v.node, d, f) }
 
-// live reports whether the attempt's process still runs: a step's hook may have
-// killed or paused it.
-func (a *attempt) live(number int) bool {
+// isCurrent reports whether the attempt is still at this try and its process still runs: a fault at
+// a step may have killed or paused the process.
+func (a *attempt) isCurrent(number int) bool {
 	return a.p.v.up && a.p == a.p.v.proxy && !a.p.v.paused && !a.done && a.number == number
 }
 
-// pass records a step and lets faults strike before what follows it.
+// pass records a step and lets faults be injected before the next action. It reports whether the
+// attempt is still current.
 func (a *attempt) pass(s core.Step) bool {
 	n := a.number
 	a.m.Pass(s)
 	w := a.p.v.w
-	w.strike(Strike{Op: a.c.op, Step: s.String(), Node: a.p.v.name, Server: string(a.server)})
-	return a.live(n)
+	w.reportStep(Strike{Op: a.c.op, Step: s.String(), Node: a.p.v.name, Server: string(a.server)})
+	return a.isCurrent(n)
 }
 
-// onSelf runs f on the VM, later if it was just paused.
+// onSelf runs f on the attempt's VM, or after the VM resumes if it is paused.
 func (a *attempt) onSelf(f func()) {
 	n := a.number
 	a.p.v.w.runOn(a.p.v.node, a.p.v.epoch, func() {
-		if a.live(n) {
+		if a.isCurrent(n) {
 			f()
 		}
 	})
 }
 
-// passThen passes a step and goes on with f, after a pause if one struck.
+// passThen records a step and continues with f, after the VM resumes if a fault paused it.
 func (a *attempt) passThen(s core.Step, f func()) {
 	a.pass(s)
 	a.onSelf(f)
@@ -114,12 +115,12 @@
 	a.passThen(core.StepReceived, a.route)
 }
 
-// fail asks the core what follows from a failure.
+// fail passes a failure to the core and retries or finishes the request as the core decides.
 func (a *attempt) fail(f core.Failure) {
 	if a.done {
 		return
 	}
-	v := a.verdict(f)
+	v := a.classify(f)
 	a.number++
 	if !v.Retry {
 		a.finish(v.Outcome, 0)
@@ -127,17 +128,17 @@
 	}
 	a.m.Again()
 	n := a.number
-	a.p.after(retryPause, func() {
-		if a.live(n) {
+	a.p.after(retryDelay, func() {
+		if a.isCurrent(n) {
 			a.try()
 		}
 	})
 }
 
-// verdict is the core's, but for the guards that a test takes out.
-func (a *attempt) verdict(f core.Failure) core.Verdict {
+// classify returns the core's decision on a failure, changed by the guards that a test disables.
+func (a *attempt) classify(f core.Failure) core.Verdict {
 	now := a.p.v.w.now
-	v := a.m.Fail(f, now, openBudget{})
+	v := a.m.Fail(f, now, unlimitedBudget{})
 	if a.p.v.w.guards.Out(GuardOutcome) {
 		v.Outcome = outcome.NotRun
 	}
@@ -147,7 +148,7 @@
 	return v
 }
 
-// finish answers the caller, unless the way back is gone.
+// finish ends the attempt and sends the caller its answer.
 func (a *attempt) finish(o outcome.Outcome, rows int) {
 	if a.done {
 		return
@@ -156,34 +157,34 @@
 	delete(a.p.inFlight, a)
 	w := a.p.v.w
 	if o == outcome.Done {
-		a.raiseMarks()
+		a.renewToken()
 	}
 	w.at(w.now.Add(w.delay()), func() { w.reply(a.c, o, rows, retryAfter) })
 	a.p.stepDrain(drain.InFlight{Count: len(a.p.inFlight)})
 }
 
-// raiseMarks gives the session its new token with the answer.
-func (a *attempt) raiseMarks() {
+// renewToken issues the session's new token with the answer to a write.
+func (a *attempt) renewToken() {
 	if a.c.access == accessWrite {
 		a.p.v.w.issueToken(a.c, a.write.Position)
 	}
 }
 
-// target calls the attempt's server; an answer to an abandoned try is dropped,
-// and a second answer to one question too, as a connection's stream would.
-func (a *attempt) target(handle func(*server) func(), lost func()) {
+// callServer calls the attempt's server. An answer to an abandoned try is dropped, and so is a
+// second answer to the same request, as a connection's stream would not carry either.
+func (a *attempt) callServer(handle func(*server) func(), lost func()) {
 	s := a.p.v.w.server(a.server)
 	n := a.number
-	taken := false
-	only := func(f func()) func() {
+	answered := false
+	once := func(f func()) func() {
 		return func() {
-			if a.live(n) && !taken {
-				taken = true
+			if a.isCurrent(n) && !answered {
+				answered = true
 				f()
 			}
 		}
 	}
-	a.p.v.w.call(a.p.v.node, s.node, func() func() { return only(handle(s)) }, only(lost))
+	a.p.v.w.call(a.p.v.node, s.node, func() func() { return once(handle(s)) }, once(lost))
 }
 
 func (a *attempt) route() {
@@ -193,7 +194,7 @@
 	}
 	g := a.p.v.group
 	if g == nil {
-		a.routeLater()
+		a.retryRoute()
 		return
 	}
 	a.server = g.Primary
@@ -201,12 +202,12 @@
 	a.passThen(core.StepRouted, a.connect)
 }
 
-// routeLater waits while nothing is known to route by; the deadline ends it.
-func (a *attempt) routeLater() {
+// retryRoute waits while the VM does not know the group; the deadline ends the wait.
+func (a *attempt) retryRoute() {
 	a.number++
 	n := a.number
-	a.p.after(retryPause, func() {
-		if a.live(n) {
+	a.p.after(retryDelay, func() {
+		if a.isCurrent(n) {
 			a.route()
 		}
 	})
@@ -214,7 +215,7 @@
 
 func (a *attempt) connect() {
 	a.passThen(core.StepAdmitted, func() {
-		a.target(func(*server) func() { return a.connected }, func() { a.fail(core.FailureConnect) })
+		a.callServer(func(*server) func() { return a.connected }, func() { a.fail(core.FailureConnect) })
 	})
 }
 
@@ -230,14 +231,14 @@
 	})
 }
 
-// sendWrite sends the statements one by one; nothing of them lasts before the
-// commit. A fenced server refuses, and proves with it that nothing ran.
+// sendWrite sends the statements one by one; none of them is durable before the commit. A fenced
+// server refuses a statement, which proves that nothing ran.
 func (a *attempt) sendWrite(left int) {
 	if left == 0 {
 		a.passThen(core.StepExecuted, a.sendCommit)
 		return
 	}
-	a.target(func(s *server) func() {
+	a.callServer(func(s *server) func() {
 		if s.role != target.RolePrimary || s.promised > s.term {
 			return func() { a.fail(core.FailureFenced) }
 		}
@@ -247,7 +248,7 @@
 
 func (a *attempt) sendCommit() {
 	a.passThen(core.StepCommitSent, func() {
-		a.target(func(s *server) func() {
+		a.callServer(func(s *server) func() {
 			pos, err := s.commit(a.c)
 			if err != nil {
 				return func() { a.fail(core.FailureFenced) }
@@ -261,14 +262,15 @@
 	a.passThen(core.StepReplied, func() { a.finish(outcome.Done, rows) })
 }
 
-// onGroup lets writes that wait for their acknowledgement see a new term.
+// onGroup is called when the VM adopts a newer group. It does nothing: writes that wait for their
+// acknowledgement read the VM's group at their next decision.
 func (p *proxy) onGroup() {}
 
-// stepDrain drives the drain of this proxy.
+// stepDrain steps the proxy's drain and carries out its actions.
 func (p *proxy) stepDrain(ev drain.Event) {
 	for _, act := range p.drain.Step(p.v.w.now, ev) {
 		p.v.w.logf("%s %s", p.v.name, act)
-		p.v.w.strike(Strike{Op: "shutdown", Step: string(act), Node: p.v.name})
+		p.v.w.reportStep(Strike{Op: "shutdown", Step: string(act), Node: p.v.name})
 		if act == drain.Finish && p.v.up {
 			p.v.w.Kill(p.v.name)
 			return
@@ -279,12 +281,12 @@
 // shutdown stops the proxy gracefully.
 func (p *proxy) shutdown() {
 	p.stepDrain(drain.Begin{})
-	p.drainLater()
+	p.tickDrain()
 }
 
-func (p *proxy) drainLater() {
+func (p *proxy) tickDrain() {
 	p.after(100*time.Millisecond, func() {
 		p.stepDrain(drain.Tick{})
-		p.drainLater()
+		p.tickDrain()
 	})
 }
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestScenarios runs the scripts under testdata. Each "run" block goes on in
-// the world of the file; "new seed=N" starts another. To repeat one file:
+// TestScenarios runs the scripts under testdata. Each "run" block continues in the world of the
+// file; "new seed=N" starts another world. To repeat one file:
 //
 //	go test ./scenario -run TestScenarios/<file>
 func TestScenarios(t *testing.T) {
@@ -32,7 +32,7 @@
 				return w.TakeTrace()
 			case "judge":
 				runLines(t, w, "settle")
-				return verdict(w.Judge())
+				return describeFindings(w.Judge())
 			}
 			d.Fatalf(t, "unknown command")
 			return ""
@@ -49,7 +49,7 @@
 	}
 }
 
-func verdict(found []Finding) string {
+func describeFindings(found []Finding) string {
 	if len(found) == 0 {
 		return "all hold\n"
 	}
--- a/scenario/script.go
+++ b/scenario/script.go
@@ -12,10 +12,10 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// answerLimit bounds the wait for the answer to a request of a script.
+// answerLimit bounds the wait for the answer to a script's request.
 const answerLimit = 10 * time.Second
 
-// command is a line of a script: its words and its key=value options.
+// command is one line of a script: its words and its key=value options.
 type command struct {
 	words   []string
 	options map[string]string
@@ -33,7 +33,7 @@
 	return c
 }
 
-// word returns a word of the line, or "" beyond its end.
+// word returns the i-th word of the line, or "" beyond its end.
 func (c command) word(i int) string {
 	if i < len(c.words) {
 		return c.words[i]
@@ -41,8 +41,7 @@
 	return ""
 }
 
-// Run carries out one line of a script. README.md beside the scripts lists the
-// commands.
+// Run executes one line of a script. testdata/README.md lists the commands.
 func (w *World) Run(line string) error {
 	c := parseCommand(line)
 	var err error
@@ -69,7 +68,7 @@
 	case "in":
 		err = w.runLater(c)
 	case "on":
-		w.Trap(c.word(1), c.word(2), func(s Strike) { w.runStruck(c.words[3:], s) })
+		w.Trap(c.word(1), c.word(2), func(s Strike) { w.runAtStep(c.words[3:], s) })
 	case "settle":
 		w.Settle()
 	default:
@@ -84,8 +83,8 @@
 	return err
 }
 
-// rotateKeys signs with a new key from now on. "rotate keys and keep" verifies
-// the old one as before; "rotate keys and drop" does not.
+// rotateKeys signs new tokens with a new key. "rotate keys and keep" still accepts tokens of the
+// old key; "rotate keys and drop" does not.
 func (w *World) rotateKeys(old string) error {
 	keys := map[string][]byte{"k2": secret("k2")}
 	if old == "keep" {
@@ -94,9 +93,9 @@
 	return w.keys.Replace("k2", keys)
 }
 
-// runStruck carries a line out at a step. "self" stands for the VM that passed
-// the step, and "its-server" for the server that the step is about.
-func (w *World) runStruck(words []string, s Strike) {
+// runAtStep executes a line at a step. "self" stands for the VM that reached the step, and
+// "its-server" for the server that the step concerns.
+func (w *World) runAtStep(words []string, s Strike) {
 	line := strings.Join(words, " ")
 	line = strings.NewReplacer("self", s.Node, "its-server", s.Server).Replace(line)
 	if err := w.Run(line); err != nil {
@@ -104,7 +103,7 @@
 	}
 }
 
-// runLater carries a line out after some time.
+// runLater executes a line after a delay.
 func (w *World) runLater(c command) error {
 	d, err := time.ParseDuration(c.word(1))
 	rest := strings.Join(c.words[2:], " ")
@@ -116,7 +115,7 @@
 	return err
 }
 
-// runRequest makes a request. "start" does not wait for its answer.
+// runRequest makes a request. "start" does not wait for the answer.
 func (w *World) runRequest(c command) error {
 	wait := c.word(0) != "start"
 	if !wait {
@@ -142,7 +141,7 @@
 	return nil
 }
 
-// Fault carries out a line that changes what works.
+// Fault executes a line that injects or ends a fault.
 func (w *World) Fault(c command) error {
 	name := c.word(1)
 	switch c.word(0) {
@@ -196,8 +195,8 @@
 	return nil
 }
 
-// cutFrom cuts a node off from the other servers ("peers"), from the VMs
-// ("callers"), from everything ("all"), or from one node.
+// cutFrom cuts a node off from the other servers ("peers"), from the VMs ("callers"), from
+// everything ("all"), or from one named node.
 func (w *World) cutFrom(name, from string) {
 	w.Isolate(name, func(other string) bool {
 		switch from {
@@ -221,7 +220,7 @@
 	w.restart(w.nodes[name])
 }
 
-// Relieve asks all VMs for a planned change of primary.
+// Relieve requests a planned change of primary on all VMs.
 func (w *World) Relieve(id target.ID) {
 	for _, v := range w.vms {
 		if v.up {
@@ -230,7 +229,7 @@
 	}
 }
 
-// Trap calls f once, when the operation passes the step for the first time.
+// OnceAtStep calls f once, when the operation reaches the step for the first time.
 func (w *World) Trap(op, step string, f func(Strike)) {
 	before := w.hook
 	done := false
--- a/scenario/server.go
+++ b/scenario/server.go
@@ -11,10 +11,10 @@
 	"endivemoor.example/endivemoor/timeline"
 )
 
-// pullEvery is the interval at which a replica asks its primary for more.
-const pullEvery = 5 * time.Millisecond
+// pullInterval is the interval at which a replica pulls new log entries from its primary.
+const pullInterval = 5 * time.Millisecond
 
-// entry is one committed transaction in a server's log. Its LSN is its place.
+// entry is one committed transaction in a server's log. Its LSN is its index in the log plus one.
 type entry struct {
 	term timeline.Term
 	call int // id of the call that caused it
@@ -23,7 +23,7 @@
 	at   clock.Time
 }
 
-// execution is one line of a server's execution log, which survives rewinding.
+// execution is one record of a server's execution log, from which a rewind removes nothing.
 type execution struct {
 	at   clock.Time
 	call int
@@ -31,7 +31,7 @@
 	lsn  timeline.LSN
 }
 
-// server is a fake database server: an asynchronously replicated log.
+// server is a fake database server with an asynchronously replicated log.
 type server struct {
 	*node
 	w        *World
@@ -47,7 +47,7 @@
 	promoted []promotion
 }
 
-// promotion is when a server began to lead a term.
+// promotion records when a server became primary of a term.
 type promotion struct {
 	at   clock.Time
 	term timeline.Term
@@ -76,8 +76,8 @@
 	}
 }
 
-// logTerm is the term of the newest entry. A promotion begins its term with an
-// entry of its own, so a replica is of the term once it has copied that.
+// logTerm returns the term of the newest entry. A promotion begins its term with an entry of its
+// own, so a replica belongs to the term once it has copied that entry.
 func (s *server) logTerm() timeline.Term {
 	if len(s.log) == 0 {
 		return 1
@@ -85,7 +85,7 @@
 	return s.log[len(s.log)-1].term
 }
 
-// logStart is the position at which that term began.
+// logStart returns the position at which the newest term began.
 func (s *server) logStart() timeline.LSN {
 	term := s.logTerm()
 	i := slices.IndexFunc(s.log, func(e entry) bool { return e.term == term })
@@ -120,7 +120,8 @@
 	return s.status(), nil
 }
 
-// follow rewinds to the newest entry that both logs share.
+// follow makes the server a replica of primary. It discards the entries after the newest one that
+// both logs share, and returns them.
 func (s *server) follow(primary target.ID, term timeline.Term) ([]target.Entry, error) {
 	if s.promised > term {
 		return nil, s.refuse(term)
@@ -152,10 +153,10 @@
 		!cut[[2]string{s.name, p.name}] && !cut[[2]string{p.name, s.name}]
 }
 
-func (s *server) pullLater() { s.w.at(s.w.now.Add(pullEvery), s.pull) }
+func (s *server) pullLater() { s.w.at(s.w.now.Add(pullInterval), s.pull) }
 
-// pull copies what the primary committed longer than the lag ago. A server
-// takes nothing of a lower term than it promised.
+// pull copies entries that the primary committed at least lag ago. A server accepts nothing from a
+// term lower than the one it promised.
 func (s *server) pull() {
 	defer s.pullLater()
 	p := s.w.server(s.follows)
@@ -176,9 +177,9 @@
 	}
 }
 
-// commit runs a write of a call. It is refused when the server does not lead,
-// or has promised a later term. A key that is in the log already is not run
-// again: the unique row in the target's own transaction stops it.
+// commit executes a call's write. It refuses when the server is not primary or has promised a later
+// term. A write whose key is in the log already does not run again: the unique row in the target's
+// own transaction prevents it.
 func (s *server) commit(c *call) (timeline.Position, error) {
 	if s.role != target.RolePrimary || s.promised > s.term {
 		return timeline.Position{}, s.refuse(s.term)
--- a/scenario/setup.go
+++ b/scenario/setup.go
@@ -9,18 +9,17 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// groupName is the one database group of a world.
+// groupName is the name of a world's only database group.
 const groupName = "ledger"
 
-// zones of the standard world.
+// zones are the availability zones of the standard world.
 var zones = []string{"a", "b", "c"}
 
-// defaultLag is how far a replica is behind when nothing is wrong.
+// defaultLag is the replication lag without faults.
 const defaultLag = 2 * time.Millisecond
 
-// Standard returns a world of three servers s1 (primary), s2 and s3, three VMs
-// a, b and c, one of each in each availability zone, and a store, after it has
-// settled.
+// Standard returns a settled world with a store, three servers s1 (primary), s2 and s3, and three
+// VMs a, b and c; each availability zone has one server and one VM.
 func Standard(seed uint64, guards guard.Set) *World {
 	return standard(New(seed, guards))
 }
@@ -38,7 +37,7 @@
 	w.server("s1").role = target.RolePrimary
 	w.server("s1").follows = ""
 	if _, err := w.store.put(groupKey(groupName), mustMarshal(g), 0); err != nil {
-		panic(err) // an empty store takes its first object
+		panic(err) // an empty store accepts its first object
 	}
 	for _, zone := range zones {
 		w.addVM(zone, zone, zones)
@@ -47,11 +46,11 @@
 	return w
 }
 
-// settleTime is enough for a lease to lapse and for the longest backoff.
+// settleTime is longer than the expiry of a lease plus the longest backoff.
 const settleTime = 15 * time.Second
 
-// Settle ends all faults, restarts what was killed, and lets the group recover.
-// It reports whether the group has a primary that commits.
+// Settle ends all faults, restarts all killed nodes and gives the group time to recover. It reports
+// whether the group has a primary that can commit.
 func (w *World) Settle() bool { return w.settleFor(settleTime) }
 
 func (w *World) settleFor(d time.Duration) bool {
@@ -79,7 +78,7 @@
 	n.up = true
 }
 
-// primary returns the server that a majority lets commit, or nil.
+// primary returns the primary that a majority allows to commit, or nil.
 func (w *World) primary() *server {
 	for _, s := range w.servers {
 		if s.role == target.RolePrimary && s.promised == s.term && w.followers(s)*2 >= len(w.servers)-1 {
@@ -89,7 +88,7 @@
 	return nil
 }
 
-// followers counts the replicas of a primary's term.
+// followers counts the replicas that follow p in p's term.
 func (w *World) followers(p *server) int {
 	n := 0
 	for _, s := range w.servers {
--- a/scenario/store.go
+++ b/scenario/store.go
@@ -6,14 +6,14 @@
 	"endivemoor.example/endivemoor/store"
 )
 
-// fakeStore is the platform's object API with its faults.
+// fakeStore is a fake of the platform's object API, with faults.
 type fakeStore struct {
 	*node
-	objects map[string]store.Object
-	last    store.Version
-	down    bool
-	slow    time.Duration
-	// loseAnswers is how many answers to writes are lost after the effect.
+	objects     map[string]store.Object
+	lastVersion store.Version
+	down        bool
+	slow        time.Duration
+	// loseAnswers is how many answers to writes are still to be lost after the write took effect.
 	loseAnswers int
 	effects     map[string]int
 }
@@ -43,14 +43,14 @@
 	if current := s.objects[key].Version; current != expect {
 		return 0, &store.ConflictError{Key: key, Current: current}
 	}
-	s.last++
-	s.objects[key] = store.Object{Key: key, Version: s.last, Value: value}
+	s.lastVersion++
+	s.objects[key] = store.Object{Key: key, Version: s.lastVersion, Value: value}
 	if s.loseAnswers > 0 {
 		s.loseAnswers--
 		s.effects[effectLost]++
 		return 0, store.ErrNoAnswer
 	}
-	return s.last, nil
+	return s.lastVersion, nil
 }
 
 // getFrom reads an object over the network.
@@ -72,7 +72,7 @@
 	})
 }
 
-// storeCall delays the call when the store is slow.
+// storeCall calls the store, after a delay when the store is slow.
 func (w *World) storeCall(from *node, handle func() func()) {
 	epoch := from.epoch
 	if w.store.slow > 0 {
--- a/scenario/trial.go
+++ b/scenario/trial.go
@@ -10,57 +10,59 @@
 	"endivemoor.example/endivemoor/profile"
 )
 
-// Trial is one measured failover: a steady stream of writes through all
-// proxies, and a fault in the middle.
+// Trial is one measured failover: a steady stream of writes through all proxies, with a fault in
+// the middle.
 type Trial struct {
-	// Gate decides acknowledgements.
+	// Gate decides when writes are acknowledged.
 	Gate ack.Gate
-	// PromoteDelay is what the gate needs a promoter to wait.
+	// PromoteDelay is how long the gate requires a promoter to wait.
 	PromoteDelay time.Duration
-	// Confirmed is the share of writes whose kind may not be lost, in percent.
+	// Confirmed is the percentage of writes whose durability is confirmed, that is, which must not
+	// be lost.
 	Confirmed int
-	// ProbeLoss is the share of heartbeats that are lost.
+	// ProbeLoss is the fraction of heartbeats that are lost.
 	ProbeLoss float64
 	// Heartbeat replaces failover.Config.Heartbeat unless it is zero.
 	Heartbeat time.Duration
-	// Before are script lines played before the fault; Fault is played at it,
-	// and After some time later.
+	// Before, Fault and After are script lines that run before the stream starts, at the fault, and
+	// AfterDelay after the fault.
 	Before, Fault, After []string
-	// AfterDelay is when After is played.
+	// AfterDelay is the time from Fault to After.
 	AfterDelay time.Duration
-	// Length is how long the stream goes on after the fault.
+	// Length is how long the stream continues after the fault.
 	Length time.Duration
 }
 
-// Sample is what a trial showed.
+// Sample is the result of a trial.
 type Sample struct {
-	// Gap is the longest time without an acknowledged write.
+	// Gap is the longest time without an acknowledged write after the fault.
 	Gap time.Duration
-	// Gated is the time from each commit to its acknowledgement.
+	// AckWaits are the times from each commit to its acknowledgement.
 	Gated []time.Duration
 	// Done, NotRun and Unknown count the answers.
 	Done, NotRun, Unknown int
-	// LostConfirmed and LostOther count acknowledged writes that are gone.
+	// LostConfirmed and LostOther count acknowledged writes that are missing from the surviving
+	// log.
 	LostConfirmed, LostOther int
 	// Promotions counts changes of primary.
 	Promotions int
 	// Served reports whether the group could commit at the end.
 	Served bool
-	// Findings are what the judges report, but for lost writes.
+	// Findings are the checkers' findings, except lost writes.
 	Findings []Finding
 }
 
 const (
-	// writeEvery is the interval between the writes of a trial.
-	writeEvery = 20 * time.Millisecond
-	// beforeFault is how long the stream runs before the fault.
+	// writeInterval is the interval between the writes of a trial.
+	writeInterval = 20 * time.Millisecond
+	// beforeFault is how long the stream runs before the fault, plus a random part of a heartbeat.
 	beforeFault = 500 * time.Millisecond
 	// trialSettle is how long the group may take to recover after a trial.
 	trialSettle = 6 * time.Second
 )
 
-// Run plays the trial with a seed. The fault strikes at a time within one
-// heartbeat that depends on the seed.
+// Run executes the trial with a seed. The seed determines the phase of the fault within one
+// heartbeat.
 func (t Trial) Run(seed uint64) (Sample, error) {
 	w := New(seed, nil)
 	w.gate, w.promoteDelay, w.heartbeat = t.Gate, t.PromoteDelay, t.Heartbeat
@@ -81,7 +83,7 @@
 	if err := w.runAll(t.After); err != nil {
 		return Sample{}, err
 	}
-	w.Advance(end.Sub(w.now) + requestDeadline + 2*patience)
+	w.Advance(end.Sub(w.now) + requestDeadline + 2*callerGrace)
 	s := Sample{Gap: w.gap(fault, end)}
 	w.settleFor(trialSettle)
 	w.sample(&s)
@@ -97,7 +99,7 @@
 	return nil
 }
 
-// stream sends writes, each of another row, until end.
+// stream sends writes through the VMs in turn until end.
 func (w *World) stream(confirmed int, end clock.Time) {
 	n := 0
 	var next func()
@@ -108,14 +110,14 @@
 		}
 		w.start("stream", w.vms[n%len(w.vms)].name, r)
 		n++
-		if at := w.now.Add(writeEvery); at.Before(end) {
+		if at := w.now.Add(writeInterval); at.Before(end) {
 			w.at(at, next)
 		}
 	}
 	w.at(w.now, next)
 }
 
-// gap is the longest time between two acknowledgements after the fault.
+// gap returns the longest time between two acknowledgements after the fault.
 func (w *World) gap(fault, end clock.Time) time.Duration {
 	last, longest := fault, time.Duration(0)
 	for _, at := range w.acknowledgements() {
@@ -128,7 +130,7 @@
 	return max(longest, end.Sub(last))
 }
 
-// acknowledgements lists when writes were answered "done", in order.
+// acknowledgements returns when writes were answered "done", in order.
 func (w *World) acknowledgements() []clock.Time {
 	var times []clock.Time
 	for _, c := range w.history {
@@ -150,29 +152,29 @@
 	if p == nil {
 		return
 	}
-	kept := map[int]bool{}
+	retained := map[int]bool{}
 	for _, e := range p.log {
-		kept[e.call] = true
+		retained[e.call] = true
 	}
 	for _, c := range w.history {
-		s.count(c, kept[c.id])
+		s.count(c, retained[c.id])
 	}
-	s.Findings = append(w.judgeRan(), w.judgeSuperseded()...)
-	s.Findings = append(s.Findings, w.judgeTerms()...)
-	s.Findings = append(s.Findings, w.judgeTwice(p)...)
+	s.Findings = append(w.checkRan(), w.checkSuperseded()...)
+	s.Findings = append(s.Findings, w.checkTerms()...)
+	s.Findings = append(s.Findings, w.checkTwice(p)...)
 }
 
-func (s *Sample) count(c *call, kept bool) {
+func (s *Sample) count(c *call, retained bool) {
 	switch c.outcome {
 	case outcome.Done:
 		s.Done++
-		s.Gated = append(s.Gated, c.gated)
+		s.Gated = append(s.Gated, c.ackWait)
 	case outcome.NotRun:
 		s.NotRun++
 	default:
 		s.Unknown++
 	}
-	if c.outcome != outcome.Done || kept {
+	if c.outcome != outcome.Done || retained {
 		return
 	}
 	if c.durability == profile.Confirmed {
--- a/scenario/vm.go
+++ b/scenario/vm.go
@@ -18,16 +18,16 @@
 // vm is one VM of the system: a failover machine for the group, and a proxy.
 type vm struct {
 	*node
-	w       *World
-	zone    string
-	cfg     failover.Config
-	machine *failover.Machine
-	group   *view.Group // nil until it is learned
-	reports map[target.ID]evidence
-	board   *routing.Board
-	router  *routing.Router
-	proxy   *proxy
-	passed  map[string]bool // steps of this start
+	w          *World
+	zone       string
+	cfg        failover.Config
+	machine    *failover.Machine
+	group      *view.Group // nil until it is known
+	reports    map[target.ID]evidence
+	tracker    *routing.Board
+	router     *routing.Router
+	proxy      *proxy
+	startSteps map[string]bool // steps of the current start that were reported
 
 	configuration publication.Version // in force on this VM
 	permission    ack.Permission      // for the lease gate
@@ -40,7 +40,7 @@
 	stepLeased  = "leased"
 )
 
-// evidence is a VM's newest good answer of a server.
+// evidence is the newest successful status of a server that a VM received.
 type evidence struct {
 	asked  clock.Time
 	status target.Status
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// boot starts the VM's process anew: nothing is remembered.
+// boot starts the VM's process without any state of the previous one.
 func (v *vm) boot() {
 	v.up = true
 	v.cfg.Incarnation = fmt.Sprintf("%s#%d", v.name, v.epoch)
@@ -84,24 +84,24 @@
 	v.machine = failover.New(v.cfg, groupName, rand.New(rand.NewPCG(seed, seed)))
 	v.group = nil
 	v.reports = make(map[target.ID]evidence)
-	v.board = routing.NewBoard()
-	v.router = routing.NewRouter(v.board, routing.Evidence{}, seed)
+	v.tracker = routing.NewBoard()
+	v.router = routing.NewRouter(v.tracker, routing.Evidence{}, seed)
 	v.proxy = newProxy(v)
-	v.passed = make(map[string]bool)
+	v.startSteps = make(map[string]bool)
 	v.configuration = publication.Version{}
 	v.w.after(v.node, 0, func() {
-		v.startStep(stepBooted)
+		v.reportStartStep(stepBooted)
 		v.w.after(v.node, 0, v.tick)
 		v.w.after(v.node, 0, v.watch)
-		v.w.after(v.node, 0, v.spread)
+		v.w.after(v.node, 0, v.exchangeConfiguration)
 	})
 }
 
-// startStep tells of a step of the start once.
-func (v *vm) startStep(name string) {
-	if !v.passed[name] {
-		v.passed[name] = true
-		v.w.strike(Strike{Op: "start", Step: name, Node: v.name})
+// reportStartStep reports a step of the VM's start, once per start.
+func (v *vm) reportStartStep(name string) {
+	if !v.startSteps[name] {
+		v.startSteps[name] = true
+		v.w.reportStep(Strike{Op: "start", Step: name, Node: v.name})
 	}
 }
 
@@ -113,26 +113,26 @@
 func (v *vm) step(ev failover.Event) {
 	epoch := v.epoch
 	for _, a := range v.machine.Step(v.w.now, ev) {
-		// A fault that struck at one action ends the rest or holds it back.
+		// A fault injected at one action drops or delays the remaining actions.
 		v.w.runOn(v.node, epoch, func() { v.do(a) })
 	}
-	v.w.runOn(v.node, epoch, v.learnOwn)
+	v.w.runOn(v.node, epoch, v.updateProxyGroup)
 }
 
-// learnOwn shows the machine's group to the proxy beside it.
-func (v *vm) learnOwn() {
+// updateProxyGroup passes the machine's group to the VM's own proxy.
+func (v *vm) updateProxyGroup() {
 	if v.machine.Phase() == failover.PhaseLearning {
 		return
 	}
-	v.learn(v.machine.Group())
-	v.startStep(stepLearned)
+	v.updateGroup(v.machine.Group())
+	v.reportStartStep(stepLearned)
 	if _, held := v.w.store.objects[leaseKey(groupName)]; held {
-		v.startStep(stepLeased)
+		v.reportStartStep(stepLeased)
 	}
 }
 
-// learn gives the VM's own proxy a group that is not older than the known one.
-func (v *vm) learn(g view.Group) {
+// updateGroup stores the group for the VM's own proxy if its term is higher than the known one.
+func (v *vm) updateGroup(g view.Group) {
 	if v.group == nil || g.Term > v.group.Term {
 		v.group = &g
 		v.proxy.onGroup()
@@ -144,7 +144,7 @@
 	case failover.Probe:
 		v.probe(a)
 	case failover.AskPeers:
-		v.askPeers(a)
+		v.queryPeers(a)
 	case failover.ReadLease:
 		v.readLease(a.Asked)
 	case failover.RenewLease:
@@ -160,24 +160,24 @@
 			v.step(failover.PublishResult{Term: a.Group.Term, Version: version, Err: err})
 		})
 	default:
-		v.order(a)
+		v.doServerAction(a)
 	}
 }
 
-func (v *vm) order(a failover.Action) {
+func (v *vm) doServerAction(a failover.Action) {
 	switch a := a.(type) {
 	case failover.Fence:
-		v.ask(a.Server, func(s *server) failover.Event {
+		v.command(a.Server, func(s *server) failover.Event {
 			st, err := s.fence(a.Term)
 			return failover.FenceAnswered{Server: a.Server, Term: a.Term, Status: st, Err: err}
 		})
 	case failover.Promote:
-		v.ask(a.Server, func(s *server) failover.Event {
+		v.command(a.Server, func(s *server) failover.Event {
 			st, err := s.promote(a.Term)
 			return failover.PromoteAnswered{Server: a.Server, Term: a.Term, Status: st, Err: err}
 		})
 	case failover.Follow:
-		v.ask(a.Server, func(s *server) failover.Event {
+		v.command(a.Server, func(s *server) failover.Event {
 			list, err := s.follow(a.Primary, a.Term)
 			return failover.FollowAnswered{Server: a.Server, Term: a.Term, Discarded: list, Err: err}
 		})
@@ -188,8 +188,8 @@
 	}
 }
 
-// ask calls a server and steps the machine with the answer.
-func (v *vm) ask(id target.ID, handle func(*server) failover.Event) {
+// command calls a server and steps the machine with the answer.
+func (v *vm) command(id target.ID, handle func(*server) failover.Event) {
 	s := v.w.server(id)
 	v.w.call(v.node, s.node, func() func() {
 		ev := handle(s)
@@ -225,31 +225,31 @@
 	if old, ok := v.reports[st.Server]; !ok || asked.After(old.asked) {
 		v.reports[st.Server] = evidence{asked: asked, status: st}
 	}
-	v.board.Observe(st.Server, st, asked, v.w.now)
-	v.permit(asked, st)
+	v.tracker.Observe(st.Server, st, asked, v.w.now)
+	v.renewPermission(asked, st)
 	if v.group != nil && v.group.Primary == st.Server && st.Role == target.RolePrimary {
-		v.board.ObservePrimary(groupName, st.Position(), asked)
+		v.tracker.ObservePrimary(groupName, st.Position(), asked)
 	}
 }
 
-// permissionTime is how long a replica's word lets a proxy acknowledge writes
-// under the lease gate. It outlasts two lost heartbeats.
-const permissionTime = 350 * time.Millisecond
+// permissionDuration is how long a replica's status lets a proxy acknowledge writes under the lease
+// gate. It outlasts two lost heartbeats.
+const permissionDuration = 350 * time.Millisecond
 
-// permit renews the lease gate's permission by a replica's word. A promoter
-// waits that long after a majority's promises.
-func (v *vm) permit(asked clock.Time, st target.Status) {
+// renewPermission renews the lease gate's permission from a replica's status. A promoter waits for
+// permissionDuration after a majority has promised.
+func (v *vm) renewPermission(asked clock.Time, st target.Status) {
 	g := v.group
 	if g == nil || st.Role != target.RoleReplica || st.Promised > g.Term || st.Server == g.Primary {
 		return
 	}
 	if asked.After(v.permission.Asked) {
-		v.permission = ack.Permission{Term: g.Term, Asked: asked, Duration: permissionTime}
+		v.permission = ack.Permission{Term: g.Term, Asked: asked, Duration: permissionDuration}
 	}
 }
 
-// askPeers asks every other VM; each answers from its own evidence.
-func (v *vm) askPeers(a failover.AskPeers) {
+// queryPeers queries every other VM; each answers from its own evidence.
+func (v *vm) queryPeers(a failover.AskPeers) {
 	for _, peer := range v.w.vms {
 		if peer == v {
 			continue
@@ -275,7 +275,7 @@
 
 func (v *vm) record(e failover.Entry) {
 	v.w.logf("%s %s term=%d server=%s%s", v.name, e.Step, e.Term, e.Server, discardedNote(e))
-	v.w.strike(Strike{Op: "promotion", Step: string(e.Step), Node: v.name, Server: string(e.Server)})
+	v.w.reportStep(Strike{Op: "promotion", Step: string(e.Step), Node: v.name, Server: string(e.Server)})
 }
 
 func discardedNote(e failover.Entry) string {
--- a/scenario/vmstore.go
+++ b/scenario/vmstore.go
@@ -43,8 +43,7 @@
 	v.w.putFrom(v.node, groupKey(g.Name), mustMarshal(g), expect, done)
 }
 
-// watchInterval is how often a VM sees the group's object, as a watch would
-// show it.
+// watchInterval is how often a VM reads the group's object, in place of a watch.
 const watchInterval = 200 * time.Millisecond
 
 func (v *vm) watch() {
--- a/scenario/world.go
+++ b/scenario/world.go
@@ -13,10 +13,10 @@
 	"endivemoor.example/endivemoor/session"
 )
 
-// startOfTime is where virtual time begins; the core needs times above zero.
+// startOfTime is the start of virtual time; the core needs times above zero.
 const startOfTime = clock.Time(time.Second)
 
-// World is one run: time, the network, and all that takes part.
+// World is one run: virtual time, the network and all nodes.
 type World struct {
 	now    clock.Time
 	queue  eventQueue
@@ -29,37 +29,37 @@
 
 	store   *fakeStore
 	keys    *session.Keys
-	gate    ack.Gate // of all proxies; nil for the standard one
+	gate    ack.Gate // of all proxies; nil for the default
 	servers []*server
 	vms     []*vm
 	callers map[string]*caller
 	history []*call
 	inForce []inForce // configurations put in force, in order
 	nextID  int
-	steps   int            // events run so far
-	effects map[string]int // how often each fault changed something
+	steps   int            // number of events run so far
+	effects map[string]int // how often each fault took effect
 
-	probeLoss    float64       // share of probes that get no answer
+	probeLoss    float64       // fraction of probes that get no answer
 	promoteDelay time.Duration // failover.Config.PromoteDelay of all VMs
 	heartbeat    time.Duration // of all VMs; zero for the default
 
-	// Hook is called at each named step of the core; see Trap.
+	// hook is called at each named step of the core; see OnceAtStep.
 	hook func(Strike)
 }
 
-// Strike names a step of the core that was just passed.
+// StepEvent identifies a step that the core has just reached.
 type Strike struct {
 	// Op is the operation, such as "write" or "promotion".
 	Op string
-	// Step is the core's own name of the transition.
+	// Step is the core's own name of the step.
 	Step string
-	// Node is the VM on which it happened.
+	// Node is the VM on which the step happened.
 	Node string
-	// Server is the server that the step is about, or empty.
+	// Server is the server that the step concerns, or empty.
 	Server string
 }
 
-// New returns a world without anything in it.
+// New returns an empty world.
 func New(seed uint64, guards guard.Set) *World {
 	w := &World{
 		now:     startOfTime,
@@ -77,17 +77,17 @@
 // Now returns the virtual time.
 func (w *World) Now() clock.Time { return w.now }
 
-// OnStep sets the function that is told of every step of the core.
+// OnStep sets the function that is called at every step of the core.
 func (w *World) OnStep(f func(Strike)) { w.hook = f }
 
-// strike tells the hook of a step.
-func (w *World) strike(s Strike) {
+// reportStep calls the hook, if any.
+func (w *World) reportStep(s Strike) {
 	if w.hook != nil {
 		w.hook(s)
 	}
 }
 
-// logf adds a line to the trace, with the time in milliseconds from the start.
+// logf adds a line to the trace, with the virtual time in milliseconds since the start.
 func (w *World) logf(format string, args ...any) {
 	at := w.now.Sub(startOfTime).Milliseconds()
 	fmt.Fprintf(&w.trace, "%6dms ", at)
@@ -102,12 +102,12 @@
 	return s
 }
 
-func (w *World) lastLines() string {
+func (w *World) traceTail() string {
 	s := w.trace.String()
 	return s[max(0, len(s)-2000):]
 }
 
-// Advance lets virtual time pass.
+// Advance runs all events of the next d and advances virtual time by d.
 func (w *World) Advance(d time.Duration) {
 	end := w.now.Add(d)
 	for w.queue.Len() > 0 && !w.queue[0].at.After(end) {
@@ -116,7 +116,7 @@
 	w.now = end
 }
 
-// AdvanceUntil lets time pass until done or for at most limit, and reports
+// AdvanceUntil advances virtual time until done returns true or limit has passed, and reports
 // whether it is done.
 func (w *World) AdvanceUntil(limit time.Duration, done func() bool) bool {
 	end := w.now.Add(limit)
@@ -130,21 +130,21 @@
 	return true
 }
 
-// maxEvents bounds a run; an ordinary one has some ten thousand events. More
-// means that something answers itself for ever.
+// maxEvents bounds a run; an ordinary run has about ten thousand events. More indicates an endless
+// loop of messages.
 const maxEvents = 1_000_000
 
 func (w *World) step() {
 	w.steps++
 	if w.steps > maxEvents {
-		panic("scenario: the run does not end; last lines of its trace:\n" + w.lastLines())
+		panic("scenario: run exceeds maxEvents; end of its trace:\n" + w.traceTail())
 	}
 	ev := heap.Pop(&w.queue).(*timedEvent)
 	w.now = max(w.now, ev.at)
 	ev.run()
 }
 
-// at schedules f.
+// at schedules f at time t.
 func (w *World) at(t clock.Time, f func()) {
 	w.seq++
 	heap.Push(&w.queue, &timedEvent{at: t, seq: w.seq, run: f})
@@ -156,7 +156,7 @@
 	run func()
 }
 
-// eventQueue orders events by time, and those of one time as they came.
+// eventQueue orders events by time, and events of the same time by the order of scheduling.
 type eventQueue []*timedEvent
 
 func (q eventQueue) Len() int      { return len(q) }
