--- a/internal/e2e/caller_test.go
+++ b/internal/e2e/caller_test.go
@@ -20,17 +20,16 @@
 const (
 	paramProfile = "endivemoor.profile"
 	paramSession = "endivemoor.session"
-	// callTimeout ends a caller's wait; it is longer than any deadline of the
-	// profile, so that a proxy that lives has answered before.
+	// callTimeout bounds a caller's wait. It exceeds every deadline in the profile, so that a
+	// running proxy has answered before.
 	callTimeout = 15 * time.Second
-	// lookTimeout bounds a look through a daemon that may be paused.
-	lookTimeout = 3 * time.Second
-	// retryPause is how long a caller waits that was not told when to come back.
-	retryPause = 50 * time.Millisecond
+	// readBackTimeout bounds a read through a daemon that may be paused.
+	readBackTimeout = 3 * time.Second
+	// retryDelay is how long a caller waits before it retries without a retry-after.
+	retryDelay = 50 * time.Millisecond
 )
 
-// connect opens a caller's connection to a daemon, with a session token if it
-// is not empty.
+// connect opens a caller's connection to a daemon, with a session token unless it is empty.
 func (d *daemon) connect(ctx context.Context, token string) (*pgx.Conn, error) {
 	cfg, err := pgx.ParseConfig("postgres://" + d.callers + "/" + groupName + "?sslmode=disable")
 	if err != nil {
@@ -54,25 +53,24 @@
 
 func tokenOf(c *pgx.Conn) string { return c.PgConn().ParameterStatus(paramSession) }
 
-// charge is the purchase of one key.
+// charge makes the purchase with the given key.
 func charge(ctx context.Context, c *pgx.Conn, key string) error {
 	_, err := c.Exec(ctx, fmt.Sprintf("/*endivemoor kind=purchase&key=%s*/ INSERT INTO charges VALUES ('%s', '12')", key, key),
 		pgx.QueryExecModeSimpleProtocol)
 	return err
 }
 
-// charged counts the charges of a key that a read of the kind sees.
-func charged(ctx context.Context, c *pgx.Conn, kind, key string) (int, error) {
+// countCharges returns how many charges of a key a read of the given kind returns.
+func countCharges(ctx context.Context, c *pgx.Conn, kind, key string) (int, error) {
 	var n int
 	err := c.QueryRow(ctx, fmt.Sprintf("/*endivemoor kind=%s*/ SELECT count(*) FROM charges WHERE key = '%s'", kind, key),
 		pgx.QueryExecModeSimpleProtocol).Scan(&n)
 	return n, err
 }
 
-// told is what a caller learned of an attempt. An answer that never came, and
-// an error that does not say, leave it unknown; a connection that was refused
-// sent nothing.
-func told(err error) outcome.Outcome {
+// outcomeOf returns the outcome that a caller learned from an attempt. A missing answer, and an
+// error that does not state an outcome, leave it unknown.
+func outcomeOf(err error) outcome.Outcome {
 	var pgErr *pgconn.PgError
 	switch {
 	case err == nil:
@@ -88,14 +86,14 @@
 	}
 }
 
-// history is what all callers of a test were told, by request key.
+// history records the outcomes that all callers of a test learned, by request key.
 type history struct {
 	mu       sync.Mutex
 	attempts map[string][]outcome.Outcome
 	errors   map[string][]string
-	// unseen lists keys that their own session did not see after it roamed.
+	// unseen lists the keys that their own session did not see on another daemon.
 	unseen []string
-	// seen counts the keys that it saw.
+	// seen counts the keys that their own session saw on another daemon.
 	seen int
 }
 
@@ -106,7 +104,7 @@
 func (h *history) add(key string, err error) outcome.Outcome {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	o := told(err)
+	o := outcomeOf(err)
 	h.attempts[key] = append(h.attempts[key], o)
 	if err != nil {
 		h.errors[key] = append(h.errors[key], err.Error())
@@ -114,7 +112,7 @@
 	return o
 }
 
-// done counts the keys of which some attempt was answered "done".
+// done counts the keys for which at least one attempt was answered "done".
 func (h *history) done() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -127,8 +125,8 @@
 	return n
 }
 
-// told counts the attempts that were answered so.
-func (h *history) told(o outcome.Outcome) int {
+// countOutcome counts the attempts with the given outcome.
+func (h *history) countOutcome(o outcome.Outcome) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
@@ -151,41 +149,41 @@
 	return false
 }
 
-// buyer keeps buying passes, each with a key of its own, through the daemons in
-// turn, as a service behind the platform's balancer does.
+// buyer repeatedly purchases passes, each with its own key, through the daemons in turn, as a
+// service behind the platform's load balancer does.
 type buyer struct {
 	name    string
 	fleet   *fleet
 	history *history
-	// repeat says if an attempt that was not done is made again with its key.
+	// repeat makes the buyer retry an attempt that was not done, with the same key.
 	repeat bool
 }
 
-// run buys until ctx ends.
+// run makes purchases until ctx ends.
 func (b *buyer) run(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		key := fmt.Sprintf("%s-%d", b.name, i)
 		for try := 0; ctx.Err() == nil; try++ {
 			o, token := b.purchase(b.fleet.daemons[(i+try)%len(b.fleet.daemons)], key)
 			if o == outcome.Done && token != "" {
-				b.lookElsewhere(token, key)
+				b.readBack(token, key)
 			}
 			if o == outcome.Done || !b.repeat {
 				break
 			}
-			time.Sleep(retryPause)
+			time.Sleep(retryDelay)
 		}
 	}
 }
 
-// attempt makes one purchase on a connection of its own, and is not cut off by
-// the end of the test's load.
+// attempt makes one purchase on its own connection. The end of the test's load does not cancel it.
 func (b *buyer) attempt(d *daemon, key string) outcome.Outcome {
 	o, _ := b.purchase(d, key)
 	return o
 }
 
-// purchase is an attempt that also returns the session's token.
+// purchase makes one attempt and also returns the session's token. If the connection is refused,
+// nothing was sent, so the purchase did not run.
 func (b *buyer) purchase(d *daemon, key string) (outcome.Outcome, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -198,11 +196,10 @@
 	return o, tokenOf(c)
 }
 
-// lookElsewhere reads the purchase back through any daemon, with the session's
-// token, as a read that may be a minute old. No answer proves nothing; an answer
-// without the purchase is a breach.
-func (b *buyer) lookElsewhere(token, key string) {
-	ctx, cancel := context.WithTimeout(context.Background(), lookTimeout)
+// readBack reads the purchase through a random daemon, with the session's token, as a read that may
+// be a minute old. A missing answer proves nothing; an answer without the purchase is a violation.
+func (b *buyer) readBack(token, key string) {
+	ctx, cancel := context.WithTimeout(context.Background(), readBackTimeout)
 	defer cancel()
 	d := b.fleet.daemons[rand.IntN(len(b.fleet.daemons))]
 	c, err := d.connect(ctx, token)
@@ -210,13 +207,13 @@
 		return
 	}
 	defer func() { _ = c.Close(ctx) }()
-	n, err := charged(ctx, c, "browse", key)
+	n, err := countCharges(ctx, c, "browse", key)
 	if err == nil {
-		b.history.look(key, n)
+		b.history.recordReadBack(key, n)
 	}
 }
 
-func (h *history) look(key string, n int) {
+func (h *history) recordReadBack(key string, n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if n == 0 {
@@ -226,7 +223,7 @@
 	h.seen++
 }
 
-// load runs buyers until the returned function is called, which waits for them.
+// load runs buyers until the returned function is called, which waits for them to finish.
 func (f *fleet) load(t *testing.T, h *history, buyers int, repeat bool) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -241,7 +238,7 @@
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if h.seen == 0 {
-			t.Error("no session looked for its own purchase")
+			t.Error("no session read back its own purchase")
 		}
 	}
 	t.Cleanup(stop)
--- a/internal/e2e/check_test.go
+++ b/internal/e2e/check_test.go
@@ -10,7 +10,7 @@
 	"endivemoor.example/endivemoor/outcome"
 )
 
-// rows returns how often each key was charged on a server, asked directly.
+// rows returns how often each key was charged, as read directly from the server.
 func (s *server) rows(t *testing.T) map[string]int {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), waitLimit)
@@ -31,15 +31,16 @@
 	return out
 }
 
-// judge compares what callers were told with the group's primary: what was done
-// is there, nothing is there twice, and what was only ever "not run" is not.
-func (f *fleet) judge(t *testing.T, h *history) {
+// check compares the outcomes that callers learned with the rows of the group's primary: every
+// charge answered "done" must be present, none may be present twice, and one whose attempts were
+// all "not run" must be absent.
+func (f *fleet) check(t *testing.T, h *history) {
 	t.Helper()
 	leader := f.waitLeader(t)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, wrong := range verdict(h.attempts, leader.rows(t)) {
-		t.Errorf("%s: %s; told %v", wrong.key, wrong.what, h.errors[wrong.key])
+	for _, v := range findViolations(h.attempts, leader.rows(t)) {
+		t.Errorf("%s: %s; errors returned to the caller: %v", v.key, v.what, h.errors[v.key])
 	}
 	require.Empty(t, h.unseen, "sessions that did not see their own purchase")
 }
@@ -47,53 +48,53 @@
 func (f *fleet) waitLeader(t *testing.T) *server {
 	t.Helper()
 	var leader *server
-	eventually(t, "a primary leads", func() bool {
+	eventually(t, "the group has a primary", func() bool {
 		leader = f.leader(t)
 		return leader != nil
 	})
 	return leader
 }
 
-// breach is a key whose rows contradict what its caller was told.
-type breach struct{ key, what string }
+// violation is a key whose rows contradict the outcomes that its callers learned.
+type violation struct{ key, what string }
 
-func verdict(told map[string][]outcome.Outcome, rows map[string]int) []breach {
-	var out []breach
-	for key, attempts := range told {
+func findViolations(outcomes map[string][]outcome.Outcome, rows map[string]int) []violation {
+	var out []violation
+	for key, attempts := range outcomes {
 		n := rows[key]
 		switch {
 		case n > 1:
-			out = append(out, breach{key, "ran twice"})
+			out = append(out, violation{key, "ran twice"})
 		case has(attempts, outcome.Done) && n == 0:
-			out = append(out, breach{key, "told done, and lost"})
+			out = append(out, violation{key, "answered done, but lost"})
 		case !has(attempts, outcome.Done) && !has(attempts, outcome.Unknown) && n > 0:
-			out = append(out, breach{key, "told not run, and ran"})
+			out = append(out, violation{key, "answered not run, but ran"})
 		}
 	}
 	return out
 }
 
-// The judge itself must see each breach, or its silence proves nothing.
-func TestJudgeSeesBreaches(t *testing.T) {
-	told := map[string][]outcome.Outcome{
+// The checker must report each kind of violation; otherwise an empty result proves nothing.
+func TestCheckerReportsViolations(t *testing.T) {
+	outcomes := map[string][]outcome.Outcome{
 		"lost":    {outcome.Done},
 		"twice":   {outcome.Unknown, outcome.Done},
 		"ran":     {outcome.NotRun},
-		"kept":    {outcome.Done},
+		"present": {outcome.Done},
 		"unknown": {outcome.Unknown},
 		"retried": {outcome.NotRun, outcome.Done},
 	}
-	rows := map[string]int{"twice": 2, "ran": 1, "kept": 1, "unknown": 1, "retried": 1}
-	require.ElementsMatch(t, []breach{
-		{"lost", "told done, and lost"},
+	rows := map[string]int{"twice": 2, "ran": 1, "present": 1, "unknown": 1, "retried": 1}
+	require.ElementsMatch(t, []violation{
+		{"lost", "answered done, but lost"},
 		{"twice", "ran twice"},
-		{"ran", "told not run, and ran"},
-	}, verdict(told, rows))
+		{"ran", "answered not run, but ran"},
+	}, findViolations(outcomes, rows))
 }
 
-// sees waits until a session's read is answered, and fails unless it shows the
-// key just once. Refusals and lost connections are asked again.
-func (f *fleet) sees(t *testing.T, d *daemon, token, kind, key string) {
+// requireVisible retries a session's read until it is answered, and fails the test unless it
+// returns the key exactly once. Refusals and lost connections are retried.
+func (f *fleet) requireVisible(t *testing.T, d *daemon, token, kind, key string) {
 	t.Helper()
 	eventually(t, "a read is answered", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), callTimeout)
@@ -103,7 +104,7 @@
 			return false
 		}
 		defer func() { _ = c.Close(ctx) }()
-		n, err := charged(ctx, c, kind, key)
+		n, err := countCharges(ctx, c, kind, key)
 		if err != nil {
 			return false
 		}
--- a/internal/e2e/daemon_test.go
+++ b/internal/e2e/daemon_test.go
@@ -15,8 +15,8 @@
 	"endivemoor.example/endivemoor/outcome"
 )
 
-// A daemon is told to stop while callers use it. Each request that it took is
-// answered whole, an open transaction commits, and the process then ends.
+// A daemon receives SIGTERM while callers use it. It must complete each accepted request and the
+// open transaction, and then exit with status 0.
 func TestGracefulShutdownCutsNothing(t *testing.T) {
 	f := startFleet(t, 3)
 	d := f.daemons[2]
@@ -28,19 +28,19 @@
 	require.NoError(t, exec("/*endivemoor kind=other*/ BEGIN"))
 	require.NoError(t, exec("INSERT INTO charges VALUES ('held', '12')"))
 	d.signal(t, syscall.SIGTERM)
-	eventually(t, "it tells the balancer", func() bool {
+	eventually(t, "the daemon reports that it is not ready", func() bool {
 		res, err := http.Get("http://" + d.admin + "/readyz")
 		return err != nil || res.Body.Close() == nil && res.StatusCode != http.StatusOK
 	})
 	require.NoError(t, exec("INSERT INTO charges VALUES ('held too', '12')"))
 	require.NoError(t, exec("COMMIT"))
-	<-d.gone
-	require.NoError(t, d.err, "it ends by itself, with status 0")
+	<-d.exited
+	require.NoError(t, d.err, "the daemon exits by itself, with status 0")
 	require.Equal(t, map[string]int{"held": 1, "held too": 1}, f.waitLeader(t).rows(t))
 }
 
-// One purchase is sent through all daemons at the same time, with one key, over
-// and over. It is charged once, and every caller is told so in the end.
+// The same purchase, with one key, is sent through all daemons at the same time, repeatedly. It
+// must be charged once, and every caller must finally receive "done".
 func TestOneKeyThroughAllDaemons(t *testing.T) {
 	const keys = 10
 	f := startFleet(t, 3)
@@ -51,7 +51,7 @@
 		for _, d := range f.daemons {
 			wg.Go(func() {
 				for b.attempt(d, fmt.Sprintf("k%d", i)) != outcome.Done {
-					time.Sleep(retryPause)
+					time.Sleep(retryDelay)
 				}
 			})
 		}
@@ -59,12 +59,12 @@
 	wg.Wait()
 	rows := f.waitLeader(t).rows(t)
 	require.Len(t, rows, keys)
-	f.judge(t, h)
+	f.check(t, h)
 }
 
-// Both replicas fall far behind. A session buys, roams to another daemon with
-// its token and reads what may be a minute old: it must still see its purchase,
-// and so must one that lost its token.
+// Both replicas lag far behind. A session makes a purchase, moves to another daemon with its token,
+// and reads with a maximum age of one minute: it must still see its purchase, and so must a session
+// that lost its token.
 func TestRoamingSessionSeesItsWriteOnLaggingReplicas(t *testing.T) {
 	f := startFleet(t, 3)
 	h := newHistory()
@@ -81,15 +81,15 @@
 		require.NoError(t, err)
 		token := tokenOf(c)
 		require.NotEmpty(t, token)
-		f.sees(t, f.daemons[(i+1)%3], token, "browse", key)
-		f.sees(t, f.daemons[(i+2)%3], "", "balance", key)
+		f.requireVisible(t, f.daemons[(i+1)%3], token, "browse", key)
+		f.requireVisible(t, f.daemons[(i+2)%3], "", "balance", key)
 	}
-	f.judge(t, h)
+	f.check(t, h)
 }
 
-// A published change reaches every daemon. Then the store goes down and a daemon
-// restarts: it must learn the newest generation from its peers, and never
-// serve an older one.
+// A published change reaches every daemon. Then the store goes down and a daemon restarts: it must
+// obtain the newest generation from its peers before it is ready, and must never serve an older
+// one.
 func TestConfigurationSurvivesRestartDuringOutage(t *testing.T) {
 	f := startFleet(t, 3)
 	before := f.daemons[0].generation(t)
@@ -102,7 +102,7 @@
 	f.daemons[1].kill(t)
 	f.startDaemon(t, 1)
 	f.waitReady(t, f.daemons[1])
-	require.True(t, inForce(f.daemons[1]), "ready means that the newest generation is in force")
+	require.True(t, inForce(f.daemons[1]), "a ready daemon must have the newest generation in force")
 	f.storeFaults(t, `{"faults":{}}`)
 }
 
--- a/internal/e2e/faultproxy_test.go
+++ b/internal/e2e/faultproxy_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// direction of bytes through a faultProxy.
+// direction is the direction of bytes through a faultProxy.
 type direction int
 
 const (
@@ -18,15 +18,15 @@
 	toClient
 )
 
-// proxyStep is how often a silenced direction looks whether it may go on.
-const proxyStep = 5 * time.Millisecond
+// stallPollInterval is how often a stalled direction checks whether it may continue.
+const stallPollInterval = 5 * time.Millisecond
 
-// faultProxy stands between processes on loopback and harms what passes it.
+// faultProxy forwards connections between processes on loopback and injects faults into them.
 type faultProxy struct {
-	ln     net.Listener
-	target string
-	delay  atomic.Int64   // time.Duration for each chunk
-	silent [2]atomic.Bool // by direction
+	ln      net.Listener
+	target  string
+	delay   atomic.Int64   // time.Duration, for each chunk
+	stalled [2]atomic.Bool // by direction
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
@@ -73,8 +73,8 @@
 		if err != nil {
 			return
 		}
-		for p.silent[d].Load() {
-			time.Sleep(proxyStep)
+		for p.stalled[d].Load() {
+			time.Sleep(stallPollInterval)
 		}
 		time.Sleep(time.Duration(p.delay.Load()))
 		if _, err := to.Write(buf[:n]); err != nil {
@@ -100,7 +100,7 @@
 	}
 }
 
-// reset breaks all connections without the usual farewell.
+// reset aborts all connections with a TCP RST.
 func (p *faultProxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,9 +112,9 @@
 	}
 }
 
-// heal ends what lasts.
+// heal ends delays and stalls.
 func (p *faultProxy) heal() {
 	p.delay.Store(0)
-	p.silent[toServer].Store(false)
-	p.silent[toClient].Store(false)
+	p.stalled[toServer].Store(false)
+	p.stalled[toClient].Store(false)
 }
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -28,11 +28,11 @@
 	user       = "passapp"
 	password   = "for tests only"
 	sessionKey = "0123456789abcdef0123456789abcdef"
-	// chargeTable has no unique key, so that a charge that ran twice shows.
+	// chargeTable has no unique key, so that a charge that ran twice is visible.
 	chargeTable = "CREATE TABLE charges (key TEXT, amount TEXT);"
 )
 
-// profiles is the published set.
+// profiles is the published set of profiles.
 const profiles = `[passes]
 max-read-age = 1m
 drain-grace = 5s
@@ -82,7 +82,7 @@
 	admin    string
 }
 
-// fleet is all processes of one test.
+// fleet contains all processes of one test.
 type fleet struct {
 	dir         string
 	platform    *process
@@ -91,8 +91,8 @@
 	daemons     []*daemon
 }
 
-// startFleet starts a platform, a group of three servers (the first leads) and
-// n daemons in three zones, and waits until all take callers.
+// startFleet starts a platform, a group of three servers (the first is primary) and n daemons in
+// three zones, and waits until all daemons are ready.
 func startFleet(t *testing.T, n int) *fleet {
 	t.Helper()
 	f := &fleet{dir: t.TempDir()}
@@ -133,7 +133,7 @@
 		f.servers = append(f.servers, s)
 	}
 	for _, s := range f.servers {
-		eventually(t, "the server answers", func() bool {
+		eventually(t, "the server answers a status query", func() bool {
 			_, ok := s.status(t)
 			return ok
 		})
@@ -142,7 +142,7 @@
 
 func zone(i int) string { return fmt.Sprintf("z%d", i%3+1) }
 
-// writeSettings prepares the daemons and returns their peers' addresses.
+// writeSettings writes the daemons' settings and returns the addresses of their peer listeners.
 func (f *fleet) writeSettings(t *testing.T, n int) []string {
 	t.Helper()
 	f.platformURL = "http://" + freeAddr(t)
@@ -203,7 +203,7 @@
 	})
 }
 
-// startDaemon starts the i-th daemon, also again.
+// startDaemon starts or restarts the i-th daemon.
 func (f *fleet) startDaemon(t *testing.T, i int) {
 	t.Helper()
 	d := f.daemons[i]
@@ -212,7 +212,7 @@
 
 func (f *fleet) waitReady(t *testing.T, d *daemon) {
 	t.Helper()
-	eventually(t, "daemon takes callers", func() bool {
+	eventually(t, "the daemon is ready", func() bool {
 		res, err := http.Get("http://" + d.admin + "/readyz")
 		return err == nil && res.Body.Close() == nil && res.StatusCode == http.StatusOK
 	})
@@ -227,7 +227,7 @@
 	return string(out)
 }
 
-// publish takes a set of profiles through draft, review and publication.
+// publish creates, reviews and publishes a draft with a set of profiles.
 func (f *fleet) publish(t *testing.T, text string) {
 	t.Helper()
 	path := f.write(t, "profiles.ini", []byte(text))
@@ -240,7 +240,7 @@
 	f.ctl(t, "aoife", "profile", "publish", "--reason", "for a test", draft.ID)
 }
 
-// storeFaults sets what is wrong with the platform's store.
+// storeFaults sets the faults of the platform's store.
 func (f *fleet) storeFaults(t *testing.T, faults string) {
 	t.Helper()
 	res, err := http.Post(f.platformURL+"/fault", "application/json", strings.NewReader(faults))
@@ -249,7 +249,7 @@
 	require.Less(t, res.StatusCode, http.StatusMultipleChoices)
 }
 
-// fault puts a fault in force on a database server.
+// fault injects a fault into a database server.
 func (s *server) fault(t *testing.T, values ...string) {
 	t.Helper()
 	form := url.Values{}
@@ -262,8 +262,8 @@
 	require.Equal(t, http.StatusNoContent, res.StatusCode)
 }
 
-// struck returns what a server's faults held back.
-func (s *server) struck(t *testing.T) dbd.Struck {
+// faultEffects returns how many messages a server's faults have held back.
+func (s *server) faultEffects(t *testing.T) dbd.Struck {
 	t.Helper()
 	var v dbd.Struck
 	getJSON(t, "http://"+s.control+"/fault", &v)
@@ -278,7 +278,7 @@
 	require.NoError(t, json.NewDecoder(res.Body).Decode(into))
 }
 
-// status asks a server itself; ok is false if it does not answer.
+// status queries the server directly; ok is false if it does not answer.
 func (s *server) status(t *testing.T) (st target.Status, ok bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -292,7 +292,7 @@
 	return st, err == nil
 }
 
-// leader returns the server that leads the highest term, or nil.
+// leader returns the primary of the highest term, or nil.
 func (f *fleet) leader(t *testing.T) *server {
 	t.Helper()
 	var best *server
@@ -310,7 +310,7 @@
 func (f *fleet) waitLeaderOtherThan(t *testing.T, old *server) *server {
 	t.Helper()
 	var found *server
-	eventually(t, "another server leads", func() bool {
+	eventually(t, "another server is primary", func() bool {
 		found = f.leader(t)
 		return found != nil && found != old
 	})
--- a/internal/e2e/process_test.go
+++ b/internal/e2e/process_test.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// waitLimit bounds a wait for a condition, so that a failure ends.
-	waitLimit = 40 * time.Second
-	waitStep  = 20 * time.Millisecond
-	// logTail is how much of a process's log a failed test prints, in bytes.
+	// waitLimit bounds a wait for a condition, so that a failing test ends.
+	waitLimit        = 40 * time.Second
+	waitPollInterval = 20 * time.Millisecond
+	// logTail is the size in bytes of the end of a process's log that a failed test prints.
 	logTail = 8000
 )
 
-// binaries is the folder with the built commands.
+// binaries is the directory of the built commands.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -51,22 +51,22 @@
 	name string
 	cmd  *exec.Cmd
 	log  string
-	// gone is closed when it has ended; then err says how.
-	gone chan struct{}
-	err  error
-	once sync.Once
+	// exited is closed when the process has exited; err is then the result of Wait.
+	exited chan struct{}
+	err    error
+	once   sync.Once
 }
 
-// start runs a command and ends it with the test.
+// start runs a command and kills it at the end of the test.
 func start(t *testing.T, dir, name, command string, args ...string) *process {
 	t.Helper()
 	return startWith(t, nil, dir, name, command, args...)
 }
 
-// startWith is start with further variables of the environment.
+// startWith is start with additional environment variables.
 func startWith(t *testing.T, env []string, dir, name, command string, args ...string) *process {
 	t.Helper()
-	p := &process{name: name, log: filepath.Join(dir, name+".log"), gone: make(chan struct{})}
+	p := &process{name: name, log: filepath.Join(dir, name+".log"), exited: make(chan struct{})}
 	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	require.NoError(t, err)
 	defer func() { _ = out.Close() }()
@@ -76,24 +76,26 @@
 	require.NoError(t, p.cmd.Start())
 	go func() {
 		p.err = p.cmd.Wait()
-		close(p.gone)
+		close(p.exited)
 	}()
-	t.Cleanup(func() { p.end(t) })
+	t.Cleanup(func() { p.cleanUp(t) })
 	return p
 }
 
-// damage is what a process must never write: the Go runtime's own findings.
-var damage = regexp.MustCompile(`(?m)^(panic:|fatal error:|WARNING: DATA RACE)`)
+// runtimeFailure matches the Go runtime's reports of a crash or a data race, which no process may
+// write.
+var runtimeFailure = regexp.MustCompile(`(?m)^(panic:|fatal error:|WARNING: DATA RACE)`)
 
-// end kills the process, paused or not, and prints its log if the test failed.
-func (p *process) end(t *testing.T) {
+// cleanUp kills the process, even if it is paused, and prints the end of its log if the test
+// failed.
+func (p *process) cleanUp(t *testing.T) {
 	p.once.Do(func() {
 		_ = p.cmd.Process.Kill()
-		<-p.gone
+		<-p.exited
 		text, err := os.ReadFile(p.log)
 		require.NoError(t, err)
-		if damage.Match(text) {
-			t.Errorf("%s was damaged", p.name)
+		if runtimeFailure.Match(text) {
+			t.Errorf("%s: log reports a panic, fatal error or data race", p.name)
 		}
 		if t.Failed() {
 			t.Logf("%s: %v\n%s", p.name, p.err, text[max(0, len(text)-logTail):])
@@ -106,27 +108,29 @@
 	require.NoError(t, p.cmd.Process.Signal(s), p.name)
 }
 
-// kill is SIGKILL; it returns when the process is gone.
+// kill sends SIGKILL and waits until the process has exited.
 func (p *process) kill(t *testing.T) {
 	t.Helper()
 	p.signal(t, syscall.SIGKILL)
-	<-p.gone
+	<-p.exited
 }
 
 func (p *process) pause(t *testing.T)  { p.signal(t, syscall.SIGSTOP) }
 func (p *process) resume(t *testing.T) { p.signal(t, syscall.SIGCONT) }
 
-// Ports come from below the range that the kernel gives to outgoing
-// connections, so that none is taken between its choice and its use.
+// Ports are below the kernel's range for outgoing connections, so that none is taken between its
+// choice and its use.
 const (
 	firstPort = 15000
 	lastPort  = 32000
 )
 
-// nextPort starts at a place of this process's own.
+// nextPort starts at an offset that depends on the process id, so that concurrent test processes
+// choose different ports.
 var nextPort = firstPort + os.Getpid()*61%(lastPort-firstPort)
 
-// freeAddr returns an unused loopback address, each only once.
+// freeAddr returns an unused loopback address; it does not return an address twice before all ports
+// were tried.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	for range lastPort - firstPort {
@@ -144,12 +148,12 @@
 	return ""
 }
 
-// eventually waits for a condition, on the test's own goroutine.
+// eventually polls a condition on the test's own goroutine and fails the test after waitLimit.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(waitLimit); !condition(); time.Sleep(waitStep) {
+	for limit := time.Now().Add(waitLimit); !condition(); time.Sleep(waitPollInterval) {
 		if time.Now().After(limit) {
-			require.FailNow(t, "gave up waiting", what)
+			require.FailNow(t, "condition not met within the limit", what)
 		}
 	}
 }
--- a/internal/e2e/scenario_test.go
+++ b/internal/e2e/scenario_test.go
@@ -14,63 +14,63 @@
 )
 
 const (
-	// somePurchases is how many are done before and after a fault.
+	// somePurchases is how many purchases complete before and after a fault.
 	somePurchases = 20
 	buyers        = 4
 )
 
-// buyUntil waits until more purchases are done than before.
-func buyUntil(t *testing.T, h *history, more int) {
+// waitPurchases waits until further purchases are done.
+func waitPurchases(t *testing.T, h *history, more int) {
 	t.Helper()
 	goal := h.done() + more
 	eventually(t, "purchases succeed", func() bool { return h.done() >= goal })
 }
 
-// startSale starts a fleet whose buyers are busy, and waits until some purchases
-// are done. What it returns ends the sale and judges it.
-func startSale(t *testing.T) (f *fleet, h *history, end func()) {
+// startUnderLoad starts a fleet with buyers and waits until some purchases are done. stopAndCheck
+// stops the buyers and runs the checker.
+func startUnderLoad(t *testing.T) (f *fleet, h *history, stopAndCheck func()) {
 	t.Helper()
 	f, h = startFleet(t, 3), newHistory()
 	stop := f.load(t, h, buyers, true)
-	buyUntil(t, h, somePurchases)
+	waitPurchases(t, h, somePurchases)
 	return f, h, func() {
 		t.Helper()
 		stop()
-		f.judge(t, h)
+		f.check(t, h)
 	}
 }
 
-// isReplicaOf waits until a server follows the leader up to its end.
-func isReplicaOf(t *testing.T, s, leader *server) {
+// waitReplicaOf waits until a server is a replica in the leader's term and has its log up to the
+// end.
+func waitReplicaOf(t *testing.T, s, leader *server) {
 	t.Helper()
-	eventually(t, "the server follows again", func() bool {
+	eventually(t, "the server is an up-to-date replica again", func() bool {
 		st, ok := s.status(t)
 		lead, ok2 := leader.status(t)
 		return ok && ok2 && st.Role == target.RoleReplica && st.Term == lead.Term && st.LSN >= lead.LSN
 	})
 }
 
-// At night the primary's process dies while passes are sold. Nobody is awake.
-// The fleet promotes a replica, sales go on, and no paid pass is lost, doubled
-// or wrongly called "not run".
+// The primary's process dies during purchases. The fleet must promote a replica without an
+// operator, purchases must continue, and no paid pass may be lost, duplicated or wrongly reported
+// as "not run".
 func TestPrimaryKilled(t *testing.T) {
-	f, h, end := startSale(t)
+	f, h, stopAndCheck := startUnderLoad(t)
 	old := f.servers[0]
-	began := time.Now()
+	started := time.Now()
 	old.kill(t)
-	f.logGap(t, h, began)
+	f.logGap(t, h, started)
 	f.waitLeaderOtherThan(t, old)
-	buyUntil(t, h, somePurchases)
-	end()
+	waitPurchases(t, h, somePurchases)
+	stopAndCheck()
 }
 
-// probeEvery is the interval of new purchases while a gap is measured.
-const probeEvery = 50 * time.Millisecond
+// probePurchaseInterval is the interval between new purchases while a gap is measured.
+const probePurchaseInterval = 50 * time.Millisecond
 
-// logGap writes down how long after began the first of many new purchases
-// succeeded: what was under way when the fault struck does not count. It judges
-// nothing.
-func (f *fleet) logGap(t *testing.T, h *history, began time.Time) {
+// logGap logs the time from started until the first new purchase succeeds. Purchases in progress
+// when the fault occurred do not count. It makes no check of the gap beyond waitLimit.
+func (f *fleet) logGap(t *testing.T, h *history, started time.Time) {
 	t.Helper()
 	done := make(chan time.Time, 1)
 	var wg sync.WaitGroup
@@ -87,39 +87,39 @@
 		})
 		select {
 		case at := <-done:
-			t.Logf("gap=%s", at.Sub(began).Round(time.Millisecond))
+			t.Logf("gap=%s", at.Sub(started).Round(time.Millisecond))
 			return
-		case <-time.After(probeEvery):
+		case <-time.After(probePurchaseInterval):
 		}
-		require.Less(t, time.Since(began), waitLimit, "no purchase succeeds")
+		require.Less(t, time.Since(started), waitLimit, "no purchase succeeded")
 	}
 }
 
-// The primary hangs: its kernel still accepts connections and takes bytes, and
-// nothing is answered. It must be found, replaced, and when it wakes up its late
-// work must not count; it then follows the new primary.
+// The primary hangs: its kernel still accepts connections and data, but nothing is answered. The
+// fleet must detect and replace it. When it resumes, its late work must not count, and it must
+// follow the new primary.
 func TestPrimaryFrozenThenThawed(t *testing.T) {
-	f, h, end := startSale(t)
+	f, h, stopAndCheck := startUnderLoad(t)
 	old := f.servers[0]
-	began := time.Now()
+	started := time.Now()
 	old.pause(t)
-	f.logGap(t, h, began)
+	f.logGap(t, h, started)
 	leader := f.waitLeaderOtherThan(t, old)
-	buyUntil(t, h, somePurchases)
+	waitPurchases(t, h, somePurchases)
 	old.resume(t)
-	isReplicaOf(t, old, leader)
-	buyUntil(t, h, somePurchases)
-	end()
+	waitReplicaOf(t, old, leader)
+	waitPurchases(t, h, somePurchases)
+	stopAndCheck()
 }
 
-// The primary is cut off from all callers and proxies, and believes on. Its
-// replicas still reach it. The fleet moves on; after the cut heals, requests
-// that were on their way reach the old primary late and must not count.
+// The primary is cut off from all callers and proxies and still acts as primary; its replicas still
+// reach it. The fleet must promote another server. After the cut heals, requests in transit reach
+// the old primary late and must not count.
 func TestPrimaryCutFromCallers(t *testing.T) {
-	f, h, end := startSale(t)
+	f, h, stopAndCheck := startUnderLoad(t)
 	old := f.servers[0]
 	old.fault(t, "kind", "cut", "who", "callers", "direction", "both")
-	eventually(t, "another server leads", func() bool {
+	eventually(t, "another server is primary", func() bool {
 		for _, s := range f.servers[1:] {
 			if st, ok := s.status(t); ok && st.Role == target.RolePrimary {
 				return true
@@ -127,62 +127,61 @@
 		}
 		return false
 	})
-	buyUntil(t, h, somePurchases)
-	require.Positive(t, old.struck(t).Requests, "the cut took effect")
+	waitPurchases(t, h, somePurchases)
+	require.Positive(t, old.faultEffects(t).Requests, "messages held back by the cut")
 	old.fault(t, "kind", "heal")
-	isReplicaOf(t, old, f.waitLeaderOtherThan(t, old))
-	end()
+	waitReplicaOf(t, old, f.waitLeaderOtherThan(t, old))
+	stopAndCheck()
 }
 
-// Only the primary's answers are lost: it executes and nobody hears of it. Each
-// purchase that ran is unknown to its caller, who asks again with its key
-// elsewhere; it may be charged once.
+// Only the primary's answers are lost: it executes requests, but no caller learns of it. Each such
+// purchase has an unknown outcome for its caller, which repeats it with the same key through
+// another daemon; it must be charged at most once.
 func TestPrimaryAnswersLost(t *testing.T) {
-	f, h, end := startSale(t)
+	f, h, stopAndCheck := startUnderLoad(t)
 	old := f.servers[0]
 	old.fault(t, "kind", "cut", "who", "callers", "direction", "answers")
-	buyUntil(t, h, somePurchases)
-	require.Positive(t, old.struck(t).Answers, "the cut took effect")
+	waitPurchases(t, h, somePurchases)
+	require.Positive(t, old.faultEffects(t).Answers, "messages held back by the cut")
 	old.fault(t, "kind", "heal")
-	isReplicaOf(t, old, f.waitLeaderOtherThan(t, old))
-	end()
+	waitReplicaOf(t, old, f.waitLeaderOtherThan(t, old))
+	stopAndCheck()
 }
 
-// The primary's replicas are cut off from it, while callers and proxies reach all
-// servers. Nothing that it writes alone may be told "done", since no replica has
-// it. When the cut heals, sales go on.
+// The primary's replicas are cut off from it, while callers and proxies reach all servers. A write
+// that only the primary has must not be answered "done". After the cut heals, purchases must
+// continue.
 func TestPrimaryCutFromPeers(t *testing.T) {
-	f, h, end := startSale(t)
+	f, h, stopAndCheck := startUnderLoad(t)
 	old := f.servers[0]
 	old.fault(t, "kind", "cut", "who", "peers", "direction", "both")
 	eventually(t, "the cut takes effect", func() bool {
-		struck := old.struck(t)
+		struck := old.faultEffects(t)
 		return struck.Requests+struck.Answers > 0
 	})
-	before := h.told(outcome.Unknown)
-	eventually(t, "a purchase is not done, or another server leads", func() bool {
-		return h.told(outcome.Unknown) > before || f.leader(t) != old
+	before := h.countOutcome(outcome.Unknown)
+	eventually(t, "a purchase has an unknown outcome, or another server is primary", func() bool {
+		return h.countOutcome(outcome.Unknown) > before || f.leader(t) != old
 	})
 	old.fault(t, "kind", "heal")
-	buyUntil(t, h, somePurchases)
-	end()
+	waitPurchases(t, h, somePurchases)
+	stopAndCheck()
 }
 
-// The primary dies, the fleet promotes, then the new primary dies too. A server
-// is left that may not promote alone; the first one comes back without its
-// storage and follows nobody who leads. Nothing may be told "done" meanwhile.
+// The primary dies, the fleet promotes a replica, and then the new primary dies too. The remaining
+// server alone is no majority and must not be promoted, so nothing may be answered "done".
 func TestMajorityLostThenNothingIsDone(t *testing.T) {
 	f := startFleet(t, 3)
 	h := newHistory()
 	stop := f.load(t, h, buyers, true)
-	buyUntil(t, h, somePurchases)
+	waitPurchases(t, h, somePurchases)
 	f.servers[0].kill(t)
 	second := f.waitLeaderOtherThan(t, f.servers[0])
-	buyUntil(t, h, somePurchases)
+	waitPurchases(t, h, somePurchases)
 	second.kill(t)
-	before := h.told(outcome.Unknown) + h.told(outcome.NotRun)
-	eventually(t, "callers are told that it is not done", func() bool {
-		return h.told(outcome.Unknown)+h.told(outcome.NotRun) > before+buyers
+	before := h.countOutcome(outcome.Unknown) + h.countOutcome(outcome.NotRun)
+	eventually(t, "callers receive not-run or unknown outcomes", func() bool {
+		return h.countOutcome(outcome.Unknown)+h.countOutcome(outcome.NotRun) > before+buyers
 	})
 	stop()
 	last := f.servers[1]
@@ -192,14 +191,14 @@
 	rows := last.rows(t)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, wrong := range verdict(h.attempts, rows) {
-		t.Errorf("%s: %s; told %v", wrong.key, wrong.what, h.errors[wrong.key])
+	for _, v := range findViolations(h.attempts, rows) {
+		t.Errorf("%s: %s; errors returned to the caller: %v", v.key, v.what, h.errors[v.key])
 	}
 	require.Empty(t, h.unseen)
 }
 
-// A proxy is killed in the middle of a transaction. Nothing of the transaction
-// stays, and the next purchase does not wait for it.
+// A proxy is killed in the middle of a transaction. The transaction must leave no effect, and the
+// next purchase must not wait for it.
 func TestProxyKilledInTransaction(t *testing.T) {
 	f := startFleet(t, 3)
 	h := newHistory()
@@ -219,9 +218,9 @@
 	require.Equal(t, map[string]int{"whole": 1}, f.waitLeader(t).rows(t))
 }
 
-// A daemon, which may own the group, is paused; meanwhile the primary dies and
-// the others promote. The daemon wakes with an old picture: its orders must be
-// refused and its callers must still see their purchases.
+// A daemon, which may own the group, is paused; meanwhile the primary dies and the other daemons
+// promote a replica. The daemon resumes with an outdated view: its commands must be refused, and
+// its callers must still see their purchases.
 func TestDaemonPausedThroughPromotion(t *testing.T) {
 	for i := range 3 {
 		t.Run(fmt.Sprintf("p%d", i+1), func(t *testing.T) {
@@ -237,30 +236,30 @@
 				return b.attempt(f.daemons[(i+1)%3], "during") == outcome.Done
 			})
 			f.daemons[i].resume(t)
-			eventually(t, "a purchase through the daemon that woke", func() bool {
+			eventually(t, "a purchase through the resumed daemon", func() bool {
 				return b.attempt(f.daemons[i], "after") == outcome.Done
 			})
 			for _, key := range []string{"before", "during", "after"} {
-				f.sees(t, f.daemons[i], "", "balance", key)
+				f.requireVisible(t, f.daemons[i], "", "balance", key)
 			}
 			st, ok := leader.status(t)
 			require.True(t, ok)
-			require.Equal(t, st.Promised, st.Term, "the new primary was not deposed by the one that woke")
-			f.judge(t, h)
+			require.Equal(t, st.Promised, st.Term, "the resumed daemon must not replace the new primary")
+			f.check(t, h)
 		})
 	}
 }
 
-// The platform's store goes down, then the primary dies. The fleet promotes
-// with the term that it reserved while the store was well. The store comes back
-// and learns of it.
+// The platform's store goes down, then the primary dies. The fleet promotes with a term that it
+// reserved while the store was available. When the store is back, every daemon must name the new
+// primary.
 func TestStoreDownAndPrimaryKilled(t *testing.T) {
-	f, h, end := startSale(t)
+	f, h, stopAndCheck := startUnderLoad(t)
 	f.storeFaults(t, `{"faults":{"down":true}}`)
 	old := f.servers[0]
 	old.kill(t)
 	leader := f.waitLeaderOtherThan(t, old)
-	buyUntil(t, h, somePurchases)
+	waitPurchases(t, h, somePurchases)
 	f.storeFaults(t, `{"faults":{}}`)
 	eventually(t, "every daemon names the new primary", func() bool {
 		for _, d := range f.daemons {
@@ -270,11 +269,11 @@
 		}
 		return true
 	})
-	buyUntil(t, h, somePurchases)
-	end()
+	waitPurchases(t, h, somePurchases)
+	stopAndCheck()
 }
 
-// primary is the group's primary in a daemon's view.
+// primary returns the group's primary in a daemon's view.
 func (d *daemon) primary(t *testing.T) target.ID {
 	t.Helper()
 	var st struct {
@@ -286,31 +285,31 @@
 	return st.Groups[groupName].Primary
 }
 
-// Two faults at once: the daemon that sells dies together with the primary.
-// Callers go on through the others, with the same keys.
+// Two simultaneous faults: a daemon and the primary die together. Callers must continue through the
+// other daemons, with the same keys.
 func TestPrimaryAndDaemonKilledTogether(t *testing.T) {
-	f, h, end := startSale(t)
+	f, h, stopAndCheck := startUnderLoad(t)
 	old := f.servers[0]
 	f.daemons[0].kill(t)
 	old.kill(t)
 	f.waitLeaderOtherThan(t, old)
-	buyUntil(t, h, somePurchases)
-	end()
+	waitPurchases(t, h, somePurchases)
+	stopAndCheck()
 }
 
-// While nobody can commit, a caller is refused at once with a time to come
-// back, or told "unknown"; what was only ever "not run" must not show up later.
+// While no server can commit, a caller is refused at once with a retry-after, or receives an
+// unknown outcome. A purchase that was only ever "not run" must not appear later.
 func TestNotRunDidNotRun(t *testing.T) {
 	f := startFleet(t, 3)
 	h := newHistory()
 	stop := f.load(t, h, buyers, false)
-	buyUntil(t, h, somePurchases)
+	waitPurchases(t, h, somePurchases)
 	old := f.servers[0]
 	old.pause(t)
 	leader := f.waitLeaderOtherThan(t, old)
-	buyUntil(t, h, somePurchases)
+	waitPurchases(t, h, somePurchases)
 	old.resume(t)
-	isReplicaOf(t, old, leader)
+	waitReplicaOf(t, old, leader)
 	stop()
-	f.judge(t, h)
+	f.check(t, h)
 }
--- a/internal/e2e/soak_test.go
+++ b/internal/e2e/soak_test.go
@@ -23,23 +23,22 @@
 )
 
 var (
-	soakFirst = flag.Uint64("soak.first", 1, "the first seed of the soak")
-	soakSeeds = flag.Int("soak.seeds", 1, "how many seeds the soak plays")
-	soakVMs   = flag.Int("soak.vms", 4, "how many daemons the soak runs")
-	soakSteps = flag.Int("soak.steps", 12, "how many troubles strike for each seed")
+	soakFirst = flag.Uint64("soak.first", 1, "first seed of the soak test")
+	soakSeeds = flag.Int("soak.seeds", 1, "number of seeds that the soak test runs")
+	soakVMs   = flag.Int("soak.vms", 4, "number of daemons")
+	soakSteps = flag.Int("soak.steps", 12, "number of faults injected for each seed")
 )
 
-// soakRegressions are the seeds that have ever failed, each with the cause. All
-// are played by CI.
+// soakRegressions are the seeds that have failed before, each with the cause. CI runs all of them.
 var soakRegressions = []uint64{
-	8048, // a line that was logged after the log was closed ended the process
+	8048, // a line logged after the log was closed terminated the process
 }
 
-// firstKeyed is the first seed whose callers have API keys. Those before play as they
-// always did.
-const firstKeyed = 9000
+// firstSeedWithAPIKeys is the first seed whose callers have API keys. Lower seeds run without API
+// keys, so that what they test does not change.
+const firstSeedWithAPIKeys = 9000
 
-// Offsets of ports from a soak's first one, beside those of the stand-in.
+// Port offsets from a soak's first port; the stand-in uses the others.
 const (
 	soakServers     = 3
 	soakProxyOffset = 20
@@ -47,11 +46,10 @@
 	soakPorts       = 200
 )
 
-// Daemons serve callers while they are killed, paused, stopped and told to
-// reload, servers crash and fall deaf, the store is down or loses answers, and
-// connections between them are delayed, reset, silenced or cut one way, several
-// at a time. Whatever callers were told must hold all the while, and sales must go
-// on after.
+// Daemons serve callers while they are killed, paused, stopped and reloaded, servers crash or stop
+// answering, the store is down or loses answers, and connections between them are delayed, reset,
+// stalled or cut one way, several at a time. All answers to callers must stay correct throughout,
+// and purchases must continue after the faults.
 func TestSoak(t *testing.T) {
 	seeds := append([]uint64{}, soakRegressions...)
 	for i := range *soakSeeds {
@@ -62,7 +60,7 @@
 	}
 }
 
-// soak is one seed's play.
+// soak is the run of one seed.
 type soak struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -71,13 +69,13 @@
 	vms     []*soakVM
 	servers []*faultProxy
 	crashed map[string]bool
-	// keyed is set for seeds whose callers have API keys, and whose store may be restored.
-	keyed bool
-	// ends are what lasts, and must end.
-	ends []func()
+	// withAPIKeys is set for seeds whose callers have API keys and whose store may be restored.
+	withAPIKeys bool
+	// active contains a function for each lasting fault that ends it.
+	active []func()
 }
 
-// soakVM is one daemon and its way to the store.
+// soakVM is one daemon and the fault proxy between it and the store.
 type soakVM struct {
 	*process
 	n     int
@@ -88,13 +86,13 @@
 	s := &soak{t: t, random: rand.New(rand.NewPCG(seed, 0)), port: freePorts(t, soakPorts), dir: t.TempDir(), crashed: make(map[string]bool)}
 	start(t, s.dir, "standin", "standin", "lines", "--port", fmt.Sprint(s.port), "--dir", s.dir,
 		"--vms", fmt.Sprint(*soakVMs), "--offset", fmt.Sprint(soakProxyOffset))
-	eventually(t, "the stand-in", func() bool {
-		_, err := s.ask("/primary")
+	eventually(t, "the stand-in is ready", func() bool {
+		_, err := s.callControl("/primary")
 		_, written := os.Stat(s.settings(*soakVMs))
 		return err == nil && written == nil
 	})
-	if s.keyed = seed >= firstKeyed; s.keyed {
-		s.order("raise", lines.Workspaces[0])
+	if s.withAPIKeys = seed >= firstSeedWithAPIKeys; s.withAPIKeys {
+		s.command("raise", lines.Workspaces[0])
 	}
 	for i := 1; i <= soakServers; i++ {
 		s.servers = append(s.servers, newFaultProxy(t, s.local(i+soakProxyOffset), s.local(i)))
@@ -108,7 +106,7 @@
 	return s
 }
 
-// freePorts returns the first of some ports in a row of which none is in use.
+// freePorts returns the first of count consecutive ports that freeAddr does not return again.
 func freePorts(t *testing.T, count int) int {
 	t.Helper()
 	for {
@@ -126,7 +124,7 @@
 
 func (s *soak) settings(n int) string { return filepath.Join(s.dir, fmt.Sprintf("vm%d.toml", n)) }
 
-// redirect leads a daemon's calls to the store through its proxy.
+// redirect changes a daemon's settings so that its calls to the store pass through its fault proxy.
 func (s *soak) redirect(n int) {
 	text, err := os.ReadFile(s.settings(n))
 	require.NoError(s.t, err)
@@ -134,14 +132,14 @@
 	require.NoError(s.t, os.WriteFile(s.settings(n), []byte(changed), 0o600))
 }
 
-// run starts a daemon's process, at first or anew.
+// run starts or restarts a daemon's process.
 func (s *soak) run(vm *soakVM) {
 	env := []string{"ENDIVEMOOR_BOOT=" + s.settings(vm.n)}
 	vm.process = startWith(s.t, env, s.dir, fmt.Sprintf("vm%d", vm.n), "endivemoor", "edge", "--metrics-port", "0")
 }
 
-// ask sends the stand-in a question or an order.
-func (s *soak) ask(path string) (string, error) {
+// callControl sends a query or command to the stand-in's control address.
+func (s *soak) callControl(path string) (string, error) {
 	url := "http://" + lines.ControlAddr(s.port) + path
 	var resp *http.Response
 	var err error
@@ -158,12 +156,12 @@
 	return string(text), err
 }
 
-func (s *soak) order(name, id string) {
-	_, err := s.ask("/" + name + "?id=" + id)
+func (s *soak) command(name, id string) {
+	_, err := s.callControl("/" + name + "?id=" + id)
 	require.NoError(s.t, err)
 }
 
-// open opens a caller's session at a daemon.
+// open opens a caller's session on a daemon.
 func (s *soak) open(name, vm, database string) (*consumer.Session, consumer.Answer) {
 	var n int
 	if _, err := fmt.Sscanf(vm, "vm%d", &n); err != nil {
@@ -173,11 +171,11 @@
 	if err != nil {
 		return nil, consumer.Answer{Lost: true}
 	}
-	if !s.keyed {
+	if !s.withAPIKeys {
 		return consumer.Open(conn, name, database)
 	}
 	key := lines.Key(lines.Workspaces[n%len(lines.Workspaces)])
-	if _, err := s.ask("/caller?" + url.Values{"name": {name}, "key": {key}}.Encode()); err != nil {
+	if _, err := s.callControl("/caller?" + url.Values{"name": {name}, "key": {key}}.Encode()); err != nil {
 		return nil, consumer.Answer{Lost: true}
 	}
 	return consumer.OpenAs(conn, name, key, database)
@@ -189,57 +187,58 @@
 		names = append(names, fmt.Sprintf("vm%d", vm.n))
 	}
 	load := traffic.Start(s.open, traffic.Databases{Exact: lines.Pay, Bounded: lines.Check, Own: lines.Renew}, names)
-	s.goesOn(load, "sales begin")
+	s.waitPurchases(load, "purchases begin")
 	for range *soakSteps {
-		s.strike()
-		time.Sleep(s.between(50, 900))
-		for len(s.ends) > 0 && s.random.IntN(2) == 0 {
-			s.endOne()
+		s.injectRandom()
+		time.Sleep(s.randomDuration(50, 900))
+		for len(s.active) > 0 && s.random.IntN(2) == 0 {
+			s.endRandom()
 		}
 	}
-	for len(s.ends) > 0 {
-		s.endOne()
+	for len(s.active) > 0 {
+		s.endRandom()
 	}
-	s.goesOn(load, "sales go on once all has ended")
+	s.waitPurchases(load, "purchases continue after all faults have ended")
 	broken, sales, _ := load.End()
-	verdict, err := s.ask("/verdict")
+	result, err := s.callControl("/verdict")
 	require.NoError(s.t, err)
-	s.t.Logf("%d sales, %s", sales, verdict)
+	s.t.Logf("%d sales, %s", sales, result)
 	require.Empty(s.t, broken)
-	require.Contains(s.t, verdict, "lost=0 twice=0 misnamed=0 unheld=0 exceeded=0 disorder=0")
+	require.Contains(s.t, result, "lost=0 twice=0 misnamed=0 unheld=0 exceeded=0 disorder=0")
 }
 
-// goesOn waits until further sales are made.
-func (s *soak) goesOn(load *traffic.Traffic, what string) {
+// waitPurchases waits until further purchases are made.
+func (s *soak) waitPurchases(load *traffic.Traffic, what string) {
 	before := load.Sales()
 	eventually(s.t, what, func() bool { return load.Sales() > before+5 })
 }
 
-// between draws a time in milliseconds.
-func (s *soak) between(least, most int) time.Duration {
+// randomDuration draws a duration of at least least and less than most milliseconds.
+func (s *soak) randomDuration(least, most int) time.Duration {
 	return time.Duration(least+s.random.IntN(most-least)) * time.Millisecond
 }
 
-func (s *soak) later(name string, end func()) {
-	s.ends = append(s.ends, func() { s.t.Logf("end of %s", name); end() })
+// addActive registers a lasting fault with the function that ends it.
+func (s *soak) addActive(name string, end func()) {
+	s.active = append(s.active, func() { s.t.Logf("end of %s", name); end() })
 }
 
-// endOne ends one of the troubles that last.
-func (s *soak) endOne() {
-	i := s.random.IntN(len(s.ends))
-	end := s.ends[i]
-	s.ends = append(s.ends[:i], s.ends[i+1:]...)
+// endRandom ends one of the lasting faults.
+func (s *soak) endRandom() {
+	i := s.random.IntN(len(s.active))
+	end := s.active[i]
+	s.active = append(s.active[:i], s.active[i+1:]...)
 	end()
 }
 
-// trouble is one that may strike; do is told its name.
-type trouble struct {
-	name string
-	do   func(name string)
+// soakFault is a fault that may be injected; inject receives its name.
+type soakFault struct {
+	name   string
+	inject func(name string)
 }
 
-// strike draws one trouble.
-func (s *soak) strike() {
+// injectRandom injects one random fault.
+func (s *soak) injectRandom() {
 	vm := s.vms[s.random.IntN(len(s.vms))]
 	i := s.random.IntN(soakServers)
 	id := fmt.Sprintf("%s-%d", lines.Service, i)
@@ -247,68 +246,68 @@
 	if s.random.IntN(3) == 0 {
 		proxy = vm.store
 	}
-	all := []trouble{
+	faults := []soakFault{
 		{"kill " + vm.name, func(name string) { s.kill(name, vm) }},
 		{"pause " + vm.name, func(name string) { s.pause(name, vm) }},
 		{"stop " + vm.name, func(name string) { s.stop(name, vm) }},
 		{"reload " + vm.name, func(string) { s.signal(vm, syscall.SIGHUP) }},
 		{"crash " + id, func(name string) { s.crash(name, id) }},
 		{"deafen " + id, func(name string) {
-			s.order("deafen", id)
-			s.later(name, func() { s.order("undeafen", id) })
+			s.command("deafen", id)
+			s.addActive(name, func() { s.command("undeafen", id) })
 		}},
-		{"lose answers of " + id, func(string) { s.order("lose-answers", id) }},
+		{"lose answers of " + id, func(string) { s.command("lose-answers", id) }},
 		{"store down", func(name string) {
-			s.order("store-down", "")
-			s.later(name, func() { s.order("store-up", "") })
+			s.command("store-down", "")
+			s.addActive(name, func() { s.command("store-up", "") })
 		}},
-		{"store loses answers", func(string) { s.order("store-loses", "") }},
-		{"store forgets", func(string) { s.order("store-forgets", "") }},
+		{"store loses answers", func(string) { s.command("store-loses", "") }},
+		{"store forgets", func(string) { s.command("store-forgets", "") }},
 		{"reset", func(string) { proxy.reset() }},
 		{"delay", func(name string) {
-			proxy.delay.Store(int64(s.between(20, 300)))
-			s.later(name, proxy.heal)
+			proxy.delay.Store(int64(s.randomDuration(20, 300)))
+			s.addActive(name, proxy.heal)
 		}},
 		{"silence", func(name string) {
-			proxy.silent[toServer].Store(true)
-			proxy.silent[toClient].Store(true)
-			s.later(name, proxy.heal)
+			proxy.stalled[toServer].Store(true)
+			proxy.stalled[toClient].Store(true)
+			s.addActive(name, proxy.heal)
 		}},
 		{"cut one way", func(name string) {
-			proxy.silent[s.random.IntN(2)].Store(true)
-			s.later(name, proxy.heal)
+			proxy.stalled[s.random.IntN(2)].Store(true)
+			s.addActive(name, proxy.heal)
 		}},
 	}
-	if s.keyed {
+	if s.withAPIKeys {
 		workspace := lines.Workspaces[s.random.IntN(len(lines.Workspaces))]
-		all = append(all, []trouble{
-			{"store restored", func(string) { s.order("store-restored", "") }},
+		faults = append(faults, []soakFault{
+			{"store restored", func(string) { s.command("store-restored", "") }},
 			{"revoke " + workspace, func(name string) {
-				s.order("revoke", workspace)
-				s.later(name, func() { s.order("grant", workspace) })
+				s.command("revoke", workspace)
+				s.addActive(name, func() { s.command("grant", workspace) })
 			}},
 			{"lower " + workspace, func(name string) {
-				s.order("lower", workspace)
-				s.later(name, func() { s.order("raise", workspace) })
+				s.command("lower", workspace)
+				s.addActive(name, func() { s.command("raise", workspace) })
 			}},
 		}...)
 	}
-	drawn := all[s.random.IntN(len(all))]
+	drawn := faults[s.random.IntN(len(faults))]
 	s.t.Logf("%s", drawn.name)
-	drawn.do(drawn.name)
+	drawn.inject(drawn.name)
 }
 
-// gone reports whether a daemon's process has ended.
+// ended reports whether a daemon's process has exited.
 func (vm *soakVM) ended() bool {
 	select {
-	case <-vm.gone:
+	case <-vm.exited:
 		return true
 	default:
 		return false
 	}
 }
 
-// signal sends a signal to a daemon that still runs.
+// signal sends a signal to a daemon that is still running.
 func (s *soak) signal(vm *soakVM, sig syscall.Signal) {
 	if !vm.ended() {
 		vm.process.signal(s.t, sig)
@@ -320,46 +319,46 @@
 		return
 	}
 	vm.process.kill(s.t)
-	s.later(name, func() { s.again(vm) })
+	s.addActive(name, func() { s.restart(vm) })
 }
 
-// stop is a planned end: callers go on using their connections until the
-// process is gone.
+// stop shuts a daemon down gracefully: callers continue to use their connections until the process
+// has exited.
 func (s *soak) stop(name string, vm *soakVM) {
 	if vm.ended() {
 		return
 	}
 	stopped := vm.process
 	stopped.signal(s.t, syscall.SIGTERM)
-	s.later(name, func() {
-		// One that was paused meanwhile cannot end.
+	s.addActive(name, func() {
+		// A daemon that was paused in the meantime cannot exit.
 		s.signal(vm, syscall.SIGCONT)
-		<-stopped.gone
-		s.again(vm)
+		<-stopped.exited
+		s.restart(vm)
 	})
 }
 
-// again starts a daemon that has ended, unless that was done before.
-func (s *soak) again(vm *soakVM) {
+// restart starts a daemon that has exited, unless it was restarted already.
+func (s *soak) restart(vm *soakVM) {
 	if vm.ended() {
 		s.run(vm)
 	}
 }
 
-// crash ends a server's process, unless it has none.
+// crash ends a server's process, unless it has crashed already.
 func (s *soak) crash(name, id string) {
 	if s.crashed[id] {
 		return
 	}
 	s.crashed[id] = true
-	s.order("crash", id)
-	s.later(name, func() {
+	s.command("crash", id)
+	s.addActive(name, func() {
 		s.crashed[id] = false
-		s.order("restart", id)
+		s.command("restart", id)
 	})
 }
 
 func (s *soak) pause(name string, vm *soakVM) {
 	s.signal(vm, syscall.SIGSTOP)
-	s.later(name, func() { s.signal(vm, syscall.SIGCONT) })
+	s.addActive(name, func() { s.signal(vm, syscall.SIGCONT) })
 }
