--- a/internal/memnet/link.go
+++ b/internal/memnet/link.go
@@ -6,18 +6,20 @@
 	"time"
 )
 
-// segment is how many bytes a connection has on its way over a link with a rate before
-// its writer waits: other connections take turns in between.
+// segment is how many bytes of a connection are in transit over a rate-limited link before its
+// writer waits, so that other connections can send in between.
 const segment = 16 << 10
 
-// link is a host's own: what it sends shares one direction, what it receives the other.
+// link is a host's connection to the network. Everything that the host sends shares one direction,
+// and everything that it receives shares the other. up and down are the times at which a direction
+// becomes free.
 type link struct {
 	rate     int // bytes per second
 	up, down time.Time
 }
 
-// SetRate bounds what a host sends, and what it receives, in bytes per second; 0 is no
-// bound, and what waits arrives at once.
+// SetRate limits the rate at which a host sends, and at which it receives, in bytes per second. 0
+// removes the limit and delivers all bytes in transit immediately.
 func (n *Network) SetRate(host string, rate int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -27,16 +29,17 @@
 	}
 	delete(n.links, host)
 	for c := range n.conns {
-		c.hurry(host)
+		c.deliverPending(host)
 	}
-	// Writers wait for what the other end has.
+	// A writer waits for data in its peer's buffer, so wake all connections.
 	for c := range n.conns {
 		c.wake()
 	}
 }
 
-// hurry lets all that is on its way from or to a host arrive at this end.
-func (c *conn) hurry(host string) {
+// deliverPending delivers all data in transit to this end immediately if the connection is from or
+// to host.
+func (c *conn) deliverPending(host string) {
 	if c.local != host && c.remote != host {
 		return
 	}
@@ -47,29 +50,30 @@
 	}
 }
 
-func (n *Network) rated(a, b string) bool {
+func (n *Network) hasRate(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.links[a] != nil || n.links[b] != nil
 }
 
-// arrival takes a host's turn to send to another, and returns when the last byte has
-// passed both links.
-func (n *Network) arrival(from, to string, bytes int) time.Time {
+// scheduleArrival queues bytes on the links of both hosts and returns when the last byte has passed
+// both.
+func (n *Network) scheduleArrival(from, to string, bytes int) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	at := time.Now()
 	if l := n.links[from]; l != nil {
-		at = pass(&l.up, at, bytes, l.rate)
+		at = enqueue(&l.up, at, bytes, l.rate)
 	}
 	if l := n.links[to]; l != nil {
-		at = pass(&l.down, at, bytes, l.rate)
+		at = enqueue(&l.down, at, bytes, l.rate)
 	}
 	return at
 }
 
-// pass queues bytes behind those that are on a link already.
-func pass(free *time.Time, at time.Time, bytes, rate int) time.Time {
+// enqueue queues bytes behind those that are on the link already, and returns when they have passed
+// it.
+func enqueue(free *time.Time, at time.Time, bytes, rate int) time.Time {
 	if free.After(at) {
 		at = *free
 	}
@@ -77,7 +81,7 @@
 	return *free
 }
 
-// writeRated writes one segment after the other, each once the one before has arrived.
+// writeRated writes one segment at a time, each after the previous one has arrived.
 func (c *conn) writeRated(b []byte) (int, error) {
 	done := 0
 	for done < len(b) {
@@ -93,17 +97,17 @@
 	return done, nil
 }
 
-// awaitArrival waits until the other end could read all that was written.
+// awaitArrival waits until the other end can read everything that was written.
 func (c *conn) awaitArrival() error {
 	for {
 		c.mu.Lock()
 		closed, broken, changed := c.closed, c.broken, c.changed
 		c.mu.Unlock()
-		left, gone := c.peer.pending()
+		left, peerClosed := c.peer.pending()
 		switch {
 		case closed:
 			return net.ErrClosed
-		case broken || gone:
+		case broken || peerClosed:
 			return syscall.EPIPE
 		case left <= 0:
 			return nil
@@ -112,9 +116,8 @@
 	}
 }
 
-// pending is how long the last of what was written takes to arrive, and whether this
-// end is closed.
-func (c *conn) pending() (left time.Duration, gone bool) {
+// pending returns the time until the last written chunk arrives, and whether this end is closed.
+func (c *conn) pending() (left time.Duration, closed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.in) == 0 {
--- a/internal/memnet/link_test.go
+++ b/internal/memnet/link_test.go
@@ -11,8 +11,8 @@
 	"endivemoor.example/endivemoor/internal/bubble"
 )
 
-// Two senders share a receiver's link of 1 MB/s, and the bytes of one that leaves early
-// do not hold the other up.
+// Two senders share a receiver's link of 1 MB/s. Data of a connection that the receiver closes
+// early must not delay the other sender.
 func TestLinkOfAHostIsShared(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		n := New()
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,6 +1,6 @@
-// Package memnet is a network in memory for tests: hosts with addresses,
-// buffered connections with deadlines, and partitions between hosts. It blocks
-// on channels only, so that it runs in the virtual time of testing/synctest.
+// Package memnet implements an in-memory network for tests: hosts with addresses, buffered
+// connections with deadlines, and partitions between hosts. It blocks only on channels, so that it
+// works in the virtual time of testing/synctest.
 package memnet
 
 import (
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// backlog is how many connections may wait to be accepted.
+// backlog is the maximum number of connections that wait to be accepted by a listener.
 const backlog = 128
 
 // Network connects hosts.
@@ -36,29 +36,28 @@
 
 // Host is one host's view of the network.
 type Host struct {
-	net  *Network
-	name string
-	life int // the kills of this host before
+	net         *Network
+	name        string
+	incarnation int // number of times that this host was killed before
 }
 
 // Host returns the named host.
 func (n *Network) Host(name string) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return &Host{net: n, name: name, life: n.kills[name]}
+	return &Host{net: n, name: name, incarnation: n.kills[name]}
 }
 
-// SetDelay sets the time that bytes are on their way, in one direction.
+// SetDelay sets the one-way delay of all bytes.
 func (n *Network) SetDelay(d time.Duration) { n.delay.Store(int64(d)) }
 
-// Cut separates two hosts, silently: bytes between them are held up, and new
-// connections hang.
+// Cut silently separates two hosts: bytes between them are held back, and new connections hang.
 func (n *Network) Cut(a, b string) { n.setCut(a, b, true) }
 
-// Heal joins two hosts again; bytes that were held up arrive.
+// Heal reconnects two hosts; bytes that were held back arrive.
 func (n *Network) Heal(a, b string) { n.setCut(a, b, false) }
 
-// HealAll joins all hosts again.
+// HealAll reconnects all hosts.
 func (n *Network) HealAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -68,14 +67,14 @@
 	}
 }
 
-// Silence makes the open connections between two hosts carry nothing any more, without
-// an end; new ones work.
+// StallConnections makes the open connections between two hosts stop delivering data, without
+// closing them. New connections work.
 func (n *Network) Silence(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
 		if pair(c.local, c.remote) == pair(a, b) {
-			c.silent.Store(true)
+			c.stalled.Store(true)
 		}
 	}
 }
@@ -91,32 +90,32 @@
 	}
 }
 
-// Reset breaks all connections of a host, as when its process dies.
+// Reset closes all listeners of a host and breaks all its connections, as when its process dies.
 func (n *Network) Reset(host string) {
 	n.mu.Lock()
-	var hit []*conn
+	var broken []*conn
 	for c := range n.conns {
 		if c.local == host || c.remote == host {
-			hit = append(hit, c)
+			broken = append(broken, c)
 		}
 	}
-	var gone []*listener
+	var closing []*listener
 	for _, l := range n.listeners {
 		if l.host == host {
-			gone = append(gone, l)
+			closing = append(closing, l)
 		}
 	}
 	n.mu.Unlock()
-	for _, l := range gone {
+	for _, l := range closing {
 		_ = l.Close()
 	}
-	for _, c := range hit {
+	for _, c := range broken {
 		c.reset()
 	}
 }
 
-// Kill ends a host's process: its connections break, and the Host that it was
-// given opens no further ones. A Host that is asked for later is a new process's.
+// Kill ends a host's process: its connections break, and Host values obtained before open no new
+// ones. A Host obtained later belongs to a new process.
 func (n *Network) Kill(host string) {
 	n.mu.Lock()
 	n.kills[host]++
@@ -146,7 +145,7 @@
 	once   sync.Once
 }
 
-// Listen takes connections at an address.
+// Listen accepts connections at an address.
 func (h *Host) Listen(addr string) (net.Listener, error) {
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
@@ -195,7 +194,7 @@
 // DialContext connects to an address.
 func (h *Host) DialContext(ctx context.Context, _, addr string) (net.Conn, error) {
 	h.net.mu.Lock()
-	l, dead := h.net.listeners[addr], h.net.kills[h.name] != h.life
+	l, dead := h.net.listeners[addr], h.net.kills[h.name] != h.incarnation
 	h.net.mu.Unlock()
 	if dead {
 		return nil, &net.OpError{Op: "dial", Net: "mem", Addr: address(addr), Err: os.NewSyscallError("connect", syscall.ENETUNREACH)}
@@ -233,12 +232,12 @@
 	due  time.Time
 }
 
-// conn is one end of a connection. What the other end wrote lies in its in.
+// conn is one end of a connection. in contains the data that the other end has written.
 type conn struct {
 	net           *Network
 	local, remote string
 	peer          *conn
-	silent        atomic.Bool
+	stalled       atomic.Bool
 
 	mu       sync.Mutex
 	in       []chunk
@@ -267,7 +266,7 @@
 // Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
 	for {
-		held := c.silent.Load() || c.net.isCut(c.local, c.remote)
+		held := c.stalled.Load() || c.net.isCut(c.local, c.remote)
 		c.mu.Lock()
 		n, wait, err := c.take(b, held)
 		changed := c.changed
@@ -279,8 +278,8 @@
 	}
 }
 
-// take moves what has arrived into b. With nothing to move it says how long to
-// wait; a negative time is for ever.
+// take moves data that has arrived into b. If there is none, it returns how long to wait; a
+// negative duration means without limit.
 func (c *conn) take(b []byte, held bool) (int, time.Duration, error) {
 	now := time.Now()
 	switch {
@@ -322,10 +321,10 @@
 	}
 }
 
-// Write implements net.Conn. It never blocks, as the other end's buffer has no bound,
-// unless one of the hosts has a link with a rate.
+// Write implements net.Conn. It never blocks, as the other end's buffer is unbounded, unless one of
+// the hosts has a rate-limited link.
 func (c *conn) Write(b []byte) (int, error) {
-	if c.net.rated(c.local, c.remote) {
+	if c.net.hasRate(c.local, c.remote) {
 		return c.writeRated(b)
 	}
 	return c.write(b)
@@ -338,8 +337,8 @@
 	if closed {
 		return 0, net.ErrClosed
 	}
-	// The network's lock goes before those of connections.
-	due := c.net.arrival(c.local, c.remote, len(b)).Add(time.Duration(c.net.delay.Load()))
+	// Lock order: the network before connections.
+	due := c.net.scheduleArrival(c.local, c.remote, len(b)).Add(time.Duration(c.net.delay.Load()))
 	p := c.peer
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -399,7 +398,7 @@
 // SetWriteDeadline implements net.Conn. Writes never block.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 
-// Idle reports whether nothing has arrived and the other end is still open.
+// Idle reports whether no unread data is queued and the connection is open at the other end.
 func (c *conn) Idle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
