--- a/internal/bubble/bubble.go
+++ b/internal/bubble/bubble.go
@@ -1,5 +1,4 @@
-// Package bubble plays a test in virtual time, with the race detector as well as
-// without it.
+// Package bubble runs a test in virtual time, with or without the race detector.
 package bubble
 
 import (
@@ -8,15 +7,15 @@
 	"testing/synctest"
 )
 
-// Test plays body in a bubble of testing/synctest.
+// Test runs body in a bubble of testing/synctest.
 //
-// Under the race detector the bubble has one processor. The runtime keeps one
-// detector context for all timers of a bubble, and a goroutine that looks at an
-// expired timer's channel uses it at the same time as others do. The detector
-// then ends the whole process with "ThreadSanitizer: CHECK failed". On one
-// processor only one goroutine is in there at a time. Races are found all the
-// same, as the detector compares orders and not moments. Tests in bubbles must not
-// run in parallel, as the number of processors is the process's.
+// Under the race detector the bubble runs on one processor. Failure guarded against: the runtime
+// keeps one detector context for all timers of a bubble, and a goroutine that checks an expired
+// timer's channel uses that context concurrently with others. The detector then ends the whole
+// process with "ThreadSanitizer: CHECK failed". On one processor, only one goroutine uses the
+// context at a time. Races are still found, because the detector compares the order of events and
+// not their times. Tests in bubbles must not run in parallel, as the number of processors is
+// process-wide.
 func Test(t *testing.T, body func(t *testing.T)) {
 	t.Helper()
 	if raceDetector {
--- a/internal/bubble/bubble_test.go
+++ b/internal/bubble/bubble_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Many goroutines wake at one virtual moment, and each finds its ticker expired
-// while it was not waited for. On several processors the race detector dies of
-// that, and a whole package's verdict with it.
-func TestExpiredTimersAreNoEndOfTheDetector(t *testing.T) {
+// Many goroutines wake at the same virtual time, and each finds its ticker expired while it did not
+// wait for it. On several processors the race detector crashes, and the results of the whole
+// package are lost.
+func TestExpiredTimersDoNotCrashRaceDetector(t *testing.T) {
 	const goroutines, rounds = 64, 300
 	Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
--- a/internal/bubble/race.go
+++ b/internal/bubble/race.go
@@ -2,5 +2,5 @@
 
 package bubble
 
-// raceDetector says whether the binary was built with the race detector.
+// raceDetector reports whether the binary was built with the race detector.
 const raceDetector = true
