--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,15 +1,15 @@
-// Package guard lets a test take one guard out of the decision core, to show
-// that the test's judge notices. Nothing outside of tests sets a guard.Set: no
-// setting, flag or environment variable leads here.
+// Package guard lets a test disable one guard (a safety check) of the decision core, to show that
+// the test's checker detects its absence. Only tests set a guard.Set: no setting, flag or
+// environment variable leads here.
 package guard
 
-// Name names one guard.
+// Name identifies one guard.
 type Name string
 
-// Set holds the guards that are taken out. The zero value takes out none.
+// Set contains the guards that are disabled. The zero value disables none.
 type Set map[Name]bool
 
-// Without returns a set that takes out the named guards.
+// Without returns a set that disables the named guards.
 func Without(names ...Name) Set {
 	s := make(Set, len(names))
 	for _, n := range names {
@@ -18,5 +18,5 @@
 	return s
 }
 
-// Out reports whether the guard is taken out.
+// Disabled reports whether the guard is disabled.
 func (s Set) Out(n Name) bool { return s[n] }
