--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,5 +1,5 @@
-// Package wait lets a driver wait without outliving its context. The decision
-// core never waits, and must not import it.
+// Package wait lets a driver wait without outliving its context. The decision core never waits and
+// must not import this package.
 package wait
 
 import (
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// IsTimeout reports whether err is that of a connection's deadline.
+// IsTimeout reports whether err is a network timeout, such as an expired connection deadline.
 func IsTimeout(err error) bool {
 	var n net.Error
 	return errors.As(err, &n) && n.Timeout()
 }
 
-// For waits for d, or until ctx ends. It reports whether the whole time passed.
+// For waits until d has passed or ctx ends. It reports whether d passed.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
