--- a/internal/purity/literals_test.go
+++ b/internal/purity/literals_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// literals returns the strings of a source file.
+// literals returns the string literals of a source file.
 func literals(t *testing.T, path string) []string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
--- a/internal/purity/platform_test.go
+++ b/internal/purity/platform_test.go
@@ -13,16 +13,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// vocabulary is what the platform's adapter may import of this module: types
-// that it decodes into, and how findings are reported.
-var vocabulary = []string{"catalog", "finding", "statement", "target", "timeline"}
+// adapterImports are the packages of this module that the platform's adapter may import: the types
+// that it decodes into, and the reporting of findings.
+var adapterImports = []string{"catalog", "finding", "statement", "target", "timeline"}
 
-// platformNames are fields and words of the platform that the product calls
-// otherwise. A few stand for all: whoever decodes an entry elsewhere needs one.
+// platformNames matches field names and words of the platform for which the product has other
+// names. A few suffice: code outside the adapter that decodes an entry needs at least one of them.
 var platformNames = regexp.MustCompile(`cold-left-ms|db-role|tx-idle-ms|max-staleness-ms|slo-ms|sync-replicas|` +
 	`X-Duty-Holder|X-Fence-Token|cloud-api|STEPDOWN|STARTUP|deletion-pending|is-stale|at-rev|has-more|heartbeat-ms`)
 
-// ownSources returns the module's Go files outside of generated code.
+// ownSources returns the module's Go files except generated code.
 func ownSources(t *testing.T) []string {
 	t.Helper()
 	var out []string
@@ -30,7 +30,7 @@
 		if err != nil {
 			return err
 		}
-		if d.IsDir() && path != root && (strings.HasPrefix(d.Name(), ".") || isBuild(d.Name())) {
+		if d.IsDir() && path != root && (strings.HasPrefix(d.Name(), ".") || isGenerated(d.Name())) {
 			return fs.SkipDir
 		}
 		if strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, ".pb.go") && !strings.HasSuffix(path, ".twirp.go") {
@@ -43,16 +43,16 @@
 	return out
 }
 
-// isBuild reports whether a folder holds what was built or written by runs.
-func isBuild(name string) bool { return name == "bin" || name == "out" || name == "journal" }
+// isGenerated reports whether a directory holds build output or files written by runs.
+func isGenerated(name string) bool { return name == "bin" || name == "out" || name == "journal" }
 
 func inPlatform(path string) bool {
 	rel, err := filepath.Rel(root, path)
 	return err == nil && strings.HasPrefix(filepath.ToSlash(rel), "platform/")
 }
 
-// The platform renames a field. Only the adapter may have to change: a name
-// that leaked elsewhere would be found by an incident.
+// Failure guarded against: the platform renames a field that code outside the adapter also uses,
+// and the use is found only by an incident. Only the adapter may use the platform's names.
 func TestPlatformNamesStayInTheAdapter(t *testing.T) {
 	for _, path := range ownSources(t) {
 		if inPlatform(path) || strings.HasSuffix(path, "platform_test.go") {
@@ -64,9 +64,9 @@
 	}
 }
 
-// The adapter decides nothing, so it needs nothing of the core but the types
-// that it decodes into.
-func TestAdapterImportsOnlyTheVocabulary(t *testing.T) {
+// The adapter makes no decisions, so it needs nothing of the core except the types that it decodes
+// into.
+func TestAdapterImportsOnlyAllowedPackages(t *testing.T) {
 	for _, path := range ownSources(t) {
 		if !inPlatform(path) || strings.Contains(filepath.ToSlash(path), "platform/standin/") || strings.HasSuffix(path, "_test.go") {
 			continue
@@ -77,7 +77,7 @@
 			name, err := strconv.Unquote(imp.Path.Value)
 			require.NoError(t, err)
 			if own, ok := strings.CutPrefix(name, module); ok && !strings.HasPrefix(own, "platform/") {
-				require.Contains(t, vocabulary, own, path)
+				require.Contains(t, adapterImports, own, path)
 			}
 		}
 	}
--- a/internal/purity/purity_test.go
+++ b/internal/purity/purity_test.go
@@ -20,8 +20,8 @@
 	root   = "../.."
 )
 
-// corePackages are those that decide. A core package may import only other
-// core packages of this module.
+// corePackages are the packages of the decision core. They may import only each other of this
+// module.
 var corePackages = []string{
 	"ack", "admission", "audit", "catalog", "clock", "drain", "failover", "finding", "freshness", "gateways",
 	"internal/guard", "leadership", "membership", "outcome", "ownership", "partners", "placing", "profile",
@@ -29,16 +29,16 @@
 	"takeover", "target", "timeline", "view",
 }
 
-// bannedImports are standard packages that reach the outside.
+// bannedImports are standard packages that perform I/O or give access to the process's environment.
 var bannedImports = []string{"net", "os", "log", "io/fs", "syscall", "math/rand", "runtime", "testing", "plugin"}
 
-// allowedLibraries are pure: hashing, tokens, errors.
+// allowedLibraries are libraries without side effects: hashing, tokens, errors.
 var allowedLibraries = []string{
 	"github.com/cespare/xxhash/v2", "github.com/dgryski/go-rendezvous",
 	"github.com/golang-jwt/jwt/v5", "github.com/pkg/errors",
 }
 
-// bannedCalls read a clock, wait, or draw from the process's own randomness.
+// bannedCalls read a clock, wait, or draw from the process's global randomness.
 var bannedCalls = map[string][]string{
 	"time":         {"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "Tick", "NewTimer", "NewTicker"},
 	"math/rand/v2": {"Int", "IntN", "Int64", "Int64N", "Uint32", "Uint64", "Float64", "Float32", "Perm", "Shuffle", "N", "NormFloat64", "ExpFloat64"},
@@ -50,12 +50,12 @@
 	for _, pkg := range corePackages {
 		found = append(found, checkPackage(t, pkg)...)
 	}
-	require.Empty(t, found, "the decision core reaches the outside")
+	require.Empty(t, found, "the decision core has side effects")
 }
 
-// A guard that never fires proves nothing: each rule must find its own breach.
-func TestEveryRuleFindsItsBreach(t *testing.T) {
-	breaches := map[string]string{
+// Each rule must report a violation of it; a check that never fails proves nothing.
+func TestEveryRuleReportsItsViolation(t *testing.T) {
+	violations := map[string]string{
 		"imports net/http":      `package p; import "net/http"; var _ http.Handler`,
 		"imports os":            `package p; import "os"; var _ = os.Args`,
 		"imports outside":       `package p; import "go.uber.org/zap"; var _ zap.Field`,
@@ -66,7 +66,7 @@
 		"starts a goroutine":    `package p; func f() { go f() }`,
 		"imports math/rand (1)": `package p; import "math/rand"; var _ = rand.Int()`,
 	}
-	for name, src := range breaches {
+	for name, src := range violations {
 		file, err := parser.ParseFile(token.NewFileSet(), "p.go", src, 0)
 		require.NoError(t, err)
 		require.NotEmpty(t, checkFile("p.go", file), name)
@@ -78,7 +78,7 @@
 	names, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	require.NoError(t, err)
 	if _, err := os.Stat(dir); err != nil || len(names) == 0 {
-		return []string{pkg + ": no such package; mend the list"}
+		return []string{pkg + ": package not found; update corePackages"}
 	}
 	var found []string
 	for _, name := range names {
