--- a/internal/terse/terse.go
+++ b/internal/terse/terse.go
@@ -1,14 +1,13 @@
-// Package terse leaves out what peers do not read of each other's HTTP
-// messages. Exchanges between VMs are many and small: half of their bytes were
-// headers.
+// Package terse omits the headers that peers do not read from each other's HTTP messages. Messages
+// between VMs are many and small: half of their bytes were headers.
 package terse
 
 import "net/http"
 
-// anyHost stands for the host that a request must name and no peer reads.
+// anyHost is the value of the Host header, which a request must have and no peer reads.
 const anyHost = "-"
 
-// Transport is a transport whose requests name neither the program nor the host.
+// Transport is a transport whose requests identify neither the program nor the host.
 type Transport struct{ http.RoundTripper }
 
 // RoundTrip implements http.RoundTripper.
@@ -21,8 +20,8 @@
 	return t.RoundTripper.RoundTrip(r)
 }
 
-// Handler leaves out the date of each answer, and the type of those that are of the
-// kind that was asked for.
+// Handler omits the date of each response, and the content type of successful responses, which is
+// the type of the request.
 func Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header()["Date"] = nil
@@ -32,8 +31,8 @@
 
 type writer struct{ http.ResponseWriter }
 
-// WriteHeader implements http.ResponseWriter. Errors keep their type: it differs from
-// that of answers.
+// WriteHeader implements http.ResponseWriter. Errors keep their content type, as it differs from
+// that of successful responses.
 func (w *writer) WriteHeader(status int) {
 	if status == http.StatusOK {
 		w.Header()["Content-Type"] = nil
--- a/internal/terse/terse_test.go
+++ b/internal/terse/terse_test.go
@@ -12,8 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What passes between two peers is the path, the lengths and the request's type.
-func TestOnlyWhatPeersReadIsSent(t *testing.T) {
+// A request between two peers contains only the path, a placeholder host, the length and the
+// content type.
+func TestRequestHasOnlyNeededHeaders(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = ln.Close() }()
