--- a/ack/gate.go
+++ b/ack/gate.go
@@ -143,7 +143,7 @@
 	if !askedAfter(w, r, g.Guards) || !promisedNoLaterTerm(w, r, g.Guards) {
 		return false
 	}
-	if g.Guards.Out(GuardReached) {
+	if g.Guards.Disabled(GuardReached) {
 		return true
 	}
 	return r.Status.Term == w.Position.Term && r.Status.LSN >= w.Position.LSN
@@ -183,7 +183,7 @@
 // then the replica was fenced and another server was promoted. A superseded primary's write would
 // be acknowledged.
 func askedAfter(w Write, r Report, g guard.Set) bool {
-	return g.Out(GuardAskedAfter) || !r.Asked.Before(w.Committed)
+	return g.Disabled(GuardAskedAfter) || !r.Asked.Before(w.Committed)
 }
 
 // promisedNoLaterTerm reports whether the replica has promised no term later than the write's.
@@ -194,7 +194,7 @@
 // nothing, because only the entries that a log had before it was fenced count; Witness depends on
 // this check alone.
 func promisedNoLaterTerm(w Write, r Report, g guard.Set) bool {
-	return g.Out(GuardPromised) || r.Status.Promised <= w.Position.Term
+	return g.Disabled(GuardPromised) || r.Status.Promised <= w.Position.Term
 }
 
 // rebase checks the write against the group's history. A write that every later term retained is
@@ -213,7 +213,7 @@
 	if !containsTerm(group.History, w.Position.Term) {
 		return w, ReasonOtherTerm
 	}
-	if group.History.WasDiscarded(w.Position) && !g.Out(GuardTimeline) {
+	if group.History.WasDiscarded(w.Position) && !g.Disabled(GuardTimeline) {
 		return w, ReasonDiscarded
 	}
 	w.Position.Term = group.Term
--- a/audit/log/find.go
+++ b/audit/log/find.go
@@ -52,7 +52,7 @@
 			head, err := l.headBefore(ctx, s.from)
 			return at, head, err
 		}
-		if !l.guards.Out(GuardActID) {
+		if !l.guards.Disabled(GuardActID) {
 			s.drop(at)
 		}
 		if !at.isFull() {
--- a/audit/log/log.go
+++ b/audit/log/log.go
@@ -152,7 +152,7 @@
 		// same act.
 		IsOwn: func(o store.Object) bool {
 			s, err := decode(o, last.Number)
-			return err == nil && s.hasAll(entries[len(last.Entries):]) && !l.guards.Out(GuardReadBack)
+			return err == nil && s.hasAll(entries[len(last.Entries):]) && !l.guards.Disabled(GuardReadBack)
 		},
 	})
 }
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -152,7 +152,7 @@
 // Failure guarded against: a proxy closes its sockets as soon as it receives the signal to stop. This
 // aborts the requests in flight, and their callers cannot determine the outcome.
 func (d *Drain) finish(now clock.Time) []Action {
-	if d.inFlight == 0 || d.cfg.Guards.Out(GuardInFlight) {
+	if d.inFlight == 0 || d.cfg.Guards.Disabled(GuardInFlight) {
 		d.phase = PhaseDone
 		return []Action{Finish}
 	}
--- a/failover/attempt.go
+++ b/failover/attempt.go
@@ -161,7 +161,7 @@
 func (m *Machine) advanceFencing() {
 	a := m.attempt
 	need := m.majority()
-	if m.cfg.Guards.Out(GuardMajority) {
+	if m.cfg.Guards.Disabled(GuardMajority) {
 		need = 1
 	}
 	if m.eligibleCount() < need || !m.replicaReady() {
@@ -229,7 +229,7 @@
 // their own. The next candidate therefore gets the next term.
 func (m *Machine) giveUpCandidate() {
 	a := m.attempt
-	if m.cfg.Guards.Out(GuardOneCandidate) {
+	if m.cfg.Guards.Disabled(GuardOneCandidate) {
 		delete(a.fenced, a.candidate)
 		a.candidate = ""
 		a.oldPrimary = ""
--- a/failover/candidate.go
+++ b/failover/candidate.go
@@ -55,7 +55,7 @@
 func (m *Machine) better(st, bestStatus target.Status, best target.ID) bool {
 	p := rank(st, m.group.History)
 	q := rank(bestStatus, m.group.History)
-	if m.cfg.Guards.Out(GuardHighest) {
+	if m.cfg.Guards.Disabled(GuardHighest) {
 		return p.Less(q)
 	}
 	if p != q {
--- a/failover/evidence.go
+++ b/failover/evidence.go
@@ -46,7 +46,7 @@
 	if m.lastTick == 0 || m.now.Sub(m.lastTick) < m.cfg.SuspectAfter/2 {
 		return
 	}
-	if m.cfg.Guards.Out(GuardPause) {
+	if m.cfg.Guards.Disabled(GuardPause) {
 		return
 	}
 	for _, s := range m.servers {
@@ -182,7 +182,7 @@
 // primary in another zone, and they promote a second one. Service is interrupted although no server
 // has failed. VMs of one zone fail together, so reports from one zone are never sufficient.
 func (m *Machine) zonesAgree() bool {
-	if m.cfg.Guards.Out(GuardZones) {
+	if m.cfg.Guards.Disabled(GuardZones) {
 		return true
 	}
 	unresponsive := map[string]bool{m.cfg.Zone: true}
--- a/failover/reserve.go
+++ b/failover/reserve.go
@@ -62,7 +62,7 @@
 // server's log would then confirm the other's writes. The conditional update of the group's object
 // reserves a term for one VM only.
 func (m *Machine) usableTerm() (timeline.Term, bool) {
-	if m.cfg.Guards.Out(GuardReserve) {
+	if m.cfg.Guards.Disabled(GuardReserve) {
 		return m.group.Term + 1, true
 	}
 	t := max(m.terms.from, m.terms.used+1, m.group.Term+1, m.promised+1)
--- a/filter/acknowledge.go
+++ b/filter/acknowledge.go
@@ -29,7 +29,7 @@
 	if fail := next(ctx, r); fail != nil {
 		return fail
 	}
-	if r.Committed && !a.Guards.Out(GuardGate) {
+	if r.Committed && !a.Guards.Disabled(GuardGate) {
 		r.Machine.RecordStep(request.StepCommitted)
 		if fail := a.awaitGate(ctx, r); fail != nil {
 			return fail
--- a/filter/floor.go
+++ b/filter/floor.go
@@ -31,7 +31,7 @@
 // A write needs no floor: after the write, the gate proves that the primary was not superseded.
 func (f Floorer) Handle(ctx context.Context, r *Request, next Handler) *Failure {
 	r.Floor = session.FloorOf(r.Session.Watermarks, r.Group)
-	if r.Floor.Source == session.SourcePrimary && r.IsRead() && r.Executes && !f.Guards.Out(GuardFloor) {
+	if r.Floor.Source == session.SourcePrimary && r.IsRead() && r.Executes && !f.Guards.Disabled(GuardFloor) {
 		if fail := f.fetchFloor(ctx, r); fail != nil {
 			return fail
 		}
--- a/internal/experiment/failover/compare.go
+++ b/internal/experiment/failover/compare.go
@@ -44,7 +44,7 @@
 	if err := t.gap.RecordValue(s.Gap.Microseconds()); err != nil {
 		return err
 	}
-	for _, d := range s.Gated {
+	for _, d := range s.AckWaits {
 		if err := t.gated.RecordValue(d.Microseconds()); err != nil {
 			return err
 		}
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -19,4 +19,4 @@
 }
 
 // Disabled reports whether the guard is disabled.
-func (s Set) Out(n Name) bool { return s[n] }
+func (s Set) Disabled(n Name) bool { return s[n] }
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -69,7 +69,7 @@
 
 // StallConnections makes the open connections between two hosts stop delivering data, without
 // closing them. New connections work.
-func (n *Network) Silence(a, b string) {
+func (n *Network) StallConnections(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
--- a/pool/lease.go
+++ b/pool/lease.go
@@ -33,7 +33,7 @@
 // is used after its release, and statements of two transactions travel on one connection. Tokens
 // are never reused, so a stale lease cannot pass the check.
 func (l *Lease) owns() bool {
-	return l.conn.owner.Load() == l.token || l.pool.cfg.Guards.Out(GuardOwner)
+	return l.conn.owner.Load() == l.token || l.pool.cfg.Guards.Disabled(GuardOwner)
 }
 
 // SetDeadline limits all following reads and writes.
@@ -59,7 +59,7 @@
 	if !l.owns() {
 		return ErrNotOwner
 	}
-	if l.pool.cfg.Guards.Out(GuardReset) {
+	if l.pool.cfg.Guards.Disabled(GuardReset) {
 		return nil
 	}
 	l.conn.raw.Frontend.SendQuery(&pgproto3.Query{String: resetStatement})
@@ -117,11 +117,11 @@
 	if !l.conn.owner.CompareAndSwap(l.token, 0) {
 		return
 	}
-	if !l.finished() && !l.pool.cfg.Guards.Out(GuardClean) {
+	if !l.finished() && !l.pool.cfg.Guards.Disabled(GuardClean) {
 		l.pool.drop(l.conn)
 		return
 	}
-	if l.pool.cfg.Guards.Out(GuardReset) {
+	if l.pool.cfg.Guards.Disabled(GuardReset) {
 		l.pool.returnConn(l.conn)
 		return
 	}
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -140,7 +140,7 @@
 		}
 		c.resetPending = false
 	}
-	if !c.alive() && !p.cfg.Guards.Out(GuardAlive) {
+	if !c.alive() && !p.cfg.Guards.Disabled(GuardAlive) {
 		p.drop(c)
 		return nil
 	}
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -285,7 +285,7 @@
 		require.NoError(t, l.Send(&pgproto3.Query{String: "two"}))
 		_ = l.Flush()
 		_, err := l.Receive()
-		require.Equal(t, guards.Out(GuardAlive), err != nil)
+		require.Equal(t, guards.Disabled(GuardAlive), err != nil)
 	}
 }
 
--- a/proxy/commit.go
+++ b/proxy/commit.go
@@ -114,4 +114,4 @@
 }
 
 // disabled reports whether a test disabled the guard.
-func (u *unit) disabled(n guard.Name) bool { return u.s.srv.cfg.Guards.Out(n) }
+func (u *unit) disabled(n guard.Name) bool { return u.s.srv.cfg.Guards.Disabled(n) }
--- a/publication/draft.go
+++ b/publication/draft.go
@@ -98,10 +98,10 @@
 	}
 	// Failure guarded against: one person publishes a change alone. Names are compared without
 	// regard to case and surrounding space; otherwise "Aoife" could review a draft of "aoife".
-	if samePerson(d.Author, s.Actor) && !s.Guards.Out(GuardReviewer) {
+	if samePerson(d.Author, s.Actor) && !s.Guards.Disabled(GuardReviewer) {
 		return d, refuse(RuleOwnReview, "%s wrote draft %s, somebody else must review it", d.Author, d.ID)
 	}
-	if missing := notAccepted(changes, accepted); len(missing) > 0 && !s.Guards.Out(GuardDanger) {
+	if missing := notAccepted(changes, accepted); len(missing) > 0 && !s.Guards.Disabled(GuardDanger) {
 		return d, refuse(RuleDanger, "accept each dangerous change by its ID:\n%s", strings.Join(missing, "\n"))
 	}
 	d.State = StateReviewed
@@ -133,13 +133,13 @@
 	if d.State != StateReviewed {
 		return nil, refuse(RuleState, "draft %s is %s, not reviewed", d.ID, d.State)
 	}
-	ownReview := samePerson(d.Author, d.Review.Reviewer) && !s.Guards.Out(GuardReviewer)
+	ownReview := samePerson(d.Author, d.Review.Reviewer) && !s.Guards.Disabled(GuardReviewer)
 	if ownReview || d.Review.Digest != d.Digest {
 		return nil, refuse(RuleOwnReview, "the review of draft %s does not stand", d.ID)
 	}
 	// Failure guarded against: two concurrent publishes, or a publish whose changes differ from
 	// the reviewed ones. The reviewer saw only the changes relative to Base.
-	if d.Review.Base != current.version() && !s.Guards.Out(GuardBase) {
+	if d.Review.Base != current.version() && !s.Guards.Disabled(GuardBase) {
 		return nil, Superseded(current, "draft %s was reviewed against generation %d; review it again", d.ID, d.Review.Base.Generation)
 	}
 	next := Version{Generation: current.version().Generation + 1, Digest: d.Digest}
--- a/publication/store/publish.go
+++ b/publication/store/publish.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return Published{}, err
 	}
-	if !s.guards.Out(GuardSettle) {
+	if !s.guards.Disabled(GuardSettle) {
 		if err := s.settle(ctx, current); err != nil {
 			return Published{}, err
 		}
@@ -59,7 +59,7 @@
 	}
 	r, err := readback.Put(ctx, s.platform, readback.Write{
 		Purpose: store.PurposeProfile, Key: CurrentKey, Value: value, Expect: expect, Pause: s.pause,
-		IsOwn: func(o store.Object) bool { return isRecord(o, next) && !s.guards.Out(GuardReadBack) },
+		IsOwn: func(o store.Object) bool { return isRecord(o, next) && !s.guards.Disabled(GuardReadBack) },
 	})
 	switch r.Outcome {
 	case readback.Won:
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	for winner.Generation > next.Generation && !s.guards.Out(GuardOvertaken) {
+	for winner.Generation > next.Generation && !s.guards.Disabled(GuardOvertaken) {
 		archived, err := s.Set(ctx, next.Generation)
 		switch {
 		case err == nil && archived != nil && archived.Entry.ID == next.Entry.ID:
@@ -134,7 +134,7 @@
 	if err != nil || archived != nil {
 		return err
 	}
-	if s.guards.Out(GuardArchiveLast) {
+	if s.guards.Disabled(GuardArchiveLast) {
 		if err := s.archive(ctx, r); err != nil {
 			return err
 		}
--- a/publication/store/steps.go
+++ b/publication/store/steps.go
@@ -84,7 +84,7 @@
 // record in force.
 func (s *Store) begin(ctx context.Context, by Attribution) (publication.Step, *publication.Record, error) {
 	var none publication.Step
-	if !s.guards.Out(GuardRecover) {
+	if !s.guards.Disabled(GuardRecover) {
 		if err := s.Recover(ctx); err != nil {
 			return none, nil, err
 		}
@@ -112,7 +112,7 @@
 	entryID := d.Entries[len(d.Entries)-1].ID
 	r, err := readback.Put(ctx, s.platform, readback.Write{
 		Purpose: store.PurposeProfile, Key: DraftPrefix + d.ID, Value: value, Expect: expect, Pause: s.pause,
-		IsOwn: func(o store.Object) bool { return draftHasEntry(o, entryID) && !s.guards.Out(GuardReadBack) },
+		IsOwn: func(o store.Object) bool { return draftHasEntry(o, entryID) && !s.guards.Disabled(GuardReadBack) },
 	})
 	switch r.Outcome {
 	case readback.Won:
--- a/routing/router.go
+++ b/routing/router.go
@@ -100,7 +100,7 @@
 // primaryCovers reports whether the primary of the group's term covers floor. The primary has all
 // retained writes of its own term and of earlier ones.
 func (t *Tracker) primaryCovers(g *view.Group, floor timeline.Position) bool {
-	return floor.Term <= g.Term || t.Guards.Out(GuardFloor)
+	return floor.Term <= g.Term || t.Guards.Disabled(GuardFloor)
 }
 
 // candidates collects the servers that may serve the read.
@@ -142,10 +142,10 @@
 	if ok {
 		e.recordLag(rep, at)
 	}
-	if !t.Guards.Out(GuardAge) && (!ok || req.Now.Sub(at) > req.Kind.MaxAge) {
+	if !t.Guards.Disabled(GuardAge) && (!ok || req.Now.Sub(at) > req.Kind.MaxAge) {
 		return
 	}
-	if g.History.Covers(rep.status.Position(), req.Floor) || t.Guards.Out(GuardFloor) {
+	if g.History.Covers(rep.status.Position(), req.Floor) || t.Guards.Disabled(GuardFloor) {
 		c.Replicas[c.N] = candidate(s, e, req)
 		c.N++
 		return
@@ -161,7 +161,7 @@
 // a promotion has discarded, and a read returns a write that is later missing. Such a server claims
 // to lead without being the view's primary, or its position is beyond the start of a later term.
 func (t *Tracker) replicaOfHistory(g *view.Group, st target.Status) bool {
-	if t.Guards.Out(GuardHistory) {
+	if t.Guards.Disabled(GuardHistory) {
 		return true
 	}
 	return st.Role == target.RoleReplica && !g.History.WasDiscarded(st.Position())
--- a/routing/tracker.go
+++ b/routing/tracker.go
@@ -168,7 +168,7 @@
 // group of three.
 func (t *Tracker) provenUntil(g *view.Group, term timeline.Term) (clock.Time, bool) {
 	needed := len(g.Servers) / 2
-	if needed == 0 || t.Guards.Out(GuardWitness) {
+	if needed == 0 || t.Guards.Disabled(GuardWitness) {
 		return math.MaxInt64, true
 	}
 	var latest [MaxCandidates]clock.Time // in descending order
--- a/scenario/check.go
+++ b/scenario/check.go
@@ -25,7 +25,7 @@
 
 // Check compares the answers that callers received with what the servers executed. Call it after
 // Settle. It does not look at proxies.
-func (w *World) Judge() []Finding {
+func (w *World) Check() []Finding {
 	p := w.primary()
 	if p == nil {
 		return []Finding{{"no-primary", "no server can commit after all faults have ended"}}
--- a/scenario/configuration.go
+++ b/scenario/configuration.go
@@ -56,7 +56,7 @@
 // receiveOffer puts an offered configuration in force if publication.Accept allows it.
 func (v *vm) receiveOffer(offer publication.Version) {
 	verdict := publication.Accept(v.configuration, offer)
-	if verdict == publication.Older && v.w.guards.Out(GuardGeneration) {
+	if verdict == publication.Older && v.w.guards.Disabled(GuardGeneration) {
 		verdict = publication.Take
 	}
 	if verdict != publication.Take {
--- a/scenario/faults_test.go
+++ b/scenario/faults_test.go
@@ -16,12 +16,12 @@
 // effect.
 type fault struct {
 	name   string
-	inject func(w *World, s Strike) (tookEffect func() bool)
+	inject func(w *World, s StepEvent) (tookEffect func() bool)
 }
 
 // counted returns a fault whose effects the world counts.
-func counted(name, effect string, inject func(w *World, s Strike)) fault {
-	return fault{name, func(w *World, s Strike) func() bool {
+func counted(name, effect string, inject func(w *World, s StepEvent)) fault {
+	return fault{name, func(w *World, s StepEvent) func() bool {
 		before := w.effects[effect]
 		inject(w, s)
 		return func() bool { return w.effects[effect] > before }
@@ -30,25 +30,25 @@
 
 // faults are the faults that the users' requirements name.
 var faults = []fault{
-	counted("cut-from-peers", effectCut, func(w *World, s Strike) { w.cutFrom(faultTarget(w, s), "peers") }),
-	counted("cut-from-callers", effectCut, func(w *World, s Strike) { w.cutFrom(faultTarget(w, s), "callers") }),
-	counted("crash", effectKill, func(w *World, s Strike) { w.Kill(faultTarget(w, s)) }),
-	counted("freeze", effectPause, func(w *World, s Strike) { w.pauseFor(faultTarget(w, s)) }),
+	counted("cut-from-peers", effectCut, func(w *World, s StepEvent) { w.cutFrom(faultTarget(w, s), "peers") }),
+	counted("cut-from-callers", effectCut, func(w *World, s StepEvent) { w.cutFrom(faultTarget(w, s), "callers") }),
+	counted("crash", effectKill, func(w *World, s StepEvent) { w.Kill(faultTarget(w, s)) }),
+	counted("freeze", effectPause, func(w *World, s StepEvent) { w.pauseFor(faultTarget(w, s)) }),
 	counted("replicas-behind", effectLag, replicasBehind),
-	counted("proxy-killed", effectKill, func(w *World, s Strike) { w.Kill(s.Node) }),
-	counted("proxy-paused", effectPause, func(w *World, s Strike) { w.pauseFor(s.Node) }),
-	counted("zone-cut", effectCut, func(w *World, s Strike) { w.cutZone(w.vm(s.Node).zone) }),
-	counted("store-down", effectDown, func(w *World, _ Strike) { w.store.down = true }),
-	counted("store-slow", effectSlow, func(w *World, _ Strike) { w.store.slow = 2 * time.Second }),
-	counted("store-loses", effectLost, func(w *World, _ Strike) { w.store.loseAnswers += 2 }),
-	counted("answers-late", effectLate, func(w *World, s Strike) { w.net.late[faultTarget(w, s)] = true }),
-	counted("answers-twice", effectDuplicate, func(w *World, s Strike) { w.net.duplicate[faultTarget(w, s)] = true }),
+	counted("proxy-killed", effectKill, func(w *World, s StepEvent) { w.Kill(s.Node) }),
+	counted("proxy-paused", effectPause, func(w *World, s StepEvent) { w.pauseFor(s.Node) }),
+	counted("zone-cut", effectCut, func(w *World, s StepEvent) { w.cutZone(w.vm(s.Node).zone) }),
+	counted("store-down", effectDown, func(w *World, _ StepEvent) { w.store.down = true }),
+	counted("store-slow", effectSlow, func(w *World, _ StepEvent) { w.store.slow = 2 * time.Second }),
+	counted("store-loses", effectLost, func(w *World, _ StepEvent) { w.store.loseAnswers += 2 }),
+	counted("answers-late", effectLate, func(w *World, s StepEvent) { w.net.late[faultTarget(w, s)] = true }),
+	counted("answers-twice", effectDuplicate, func(w *World, s StepEvent) { w.net.duplicate[faultTarget(w, s)] = true }),
 	counted("connection-lost", effectReset, connectionLost),
 	counted("operators-race", effectRace, operatorsRace),
 }
 
 // faultTarget returns the server that a step concerns, or else the primary.
-func faultTarget(w *World, s Strike) string {
+func faultTarget(w *World, s StepEvent) string {
 	if s.Server != "" {
 		return s.Server
 	}
@@ -60,7 +60,7 @@
 	return "s1"
 }
 
-func replicasBehind(w *World, _ Strike) {
+func replicasBehind(w *World, _ StepEvent) {
 	for _, s := range w.servers {
 		s.lag = 30 * time.Second
 	}
@@ -68,13 +68,13 @@
 
 // connectionLost breaks the server's connections after a request that is sent now has taken effect
 // and before its answer arrives.
-func connectionLost(w *World, s Strike) {
+func connectionLost(w *World, s StepEvent) {
 	name := faultTarget(w, s)
 	w.at(w.now.Add(minOneWayDelay*8/5), func() { w.Reset(name) })
 }
 
 // operatorsRace makes operators order different changes of primary at the same time.
-func operatorsRace(w *World, _ Strike) {
+func operatorsRace(w *World, _ StepEvent) {
 	w.effects[effectRace]++
 	w.at(w.now, func() {
 		for i, v := range w.vms {
--- a/scenario/guards_test.go
+++ b/scenario/guards_test.go
@@ -191,7 +191,7 @@
 		found = w.checkNeedlessPromotion()
 	}
 	w.Settle()
-	found = append(found, w.Judge()...)
+	found = append(found, w.Check()...)
 	if testing.Verbose() {
 		t.Logf("seed %d without %v: %v\n%s", seed, disabled, found, w.TakeTrace())
 	}
--- a/scenario/matrix_test.go
+++ b/scenario/matrix_test.go
@@ -58,7 +58,7 @@
 	}()
 	w := Standard(seed, guards)
 	tookEffect := make([]func() bool, 0, len(c.faults))
-	w.Trap(c.op.eventOp, c.step, func(s Strike) {
+	w.OnceAtStep(c.op.eventOp, c.step, func(s StepEvent) {
 		for _, f := range c.faults {
 			tookEffect = append(tookEffect, f.inject(w, s))
 		}
@@ -71,7 +71,7 @@
 		r.tookEffect = r.tookEffect && effect()
 	}
 	w.Settle()
-	r.found = append(w.checkService(), w.Judge()...)
+	r.found = append(w.checkService(), w.Check()...)
 	if *matrixCell != "" {
 		fmt.Fprint(os.Stdout, w.TakeTrace())
 	}
--- a/scenario/proxy.go
+++ b/scenario/proxy.go
@@ -91,7 +91,7 @@
 	n := a.number
 	a.m.RecordStep(s)
 	w := a.p.v.w
-	w.reportStep(Strike{Op: a.c.op, Step: s.String(), Node: a.p.v.name, Server: string(a.server)})
+	w.reportStep(StepEvent{Op: a.c.op, Step: s.String(), Node: a.p.v.name, Server: string(a.server)})
 	return a.isCurrent(n)
 }
 
@@ -139,10 +139,10 @@
 func (a *attempt) classify(f core.Failure) core.FailureResult {
 	now := a.p.v.w.now
 	v := a.m.Fail(f, now, unlimitedBudget{})
-	if a.p.v.w.guards.Out(GuardOutcome) {
+	if a.p.v.w.guards.Disabled(GuardOutcome) {
 		v.Outcome = outcome.NotRun
 	}
-	if a.p.v.w.guards.Out(GuardRepeat) && v.Reason == core.ReasonUnsafe {
+	if a.p.v.w.guards.Disabled(GuardRepeat) && v.Reason == core.ReasonUnsafe {
 		v.Retry = now.Before(a.c.deadline)
 	}
 	return v
@@ -270,7 +270,7 @@
 func (p *proxy) stepDrain(ev drain.Event) {
 	for _, act := range p.drain.Step(p.v.w.now, ev) {
 		p.v.w.logf("%s %s", p.v.name, act)
-		p.v.w.reportStep(Strike{Op: "shutdown", Step: string(act), Node: p.v.name})
+		p.v.w.reportStep(StepEvent{Op: "shutdown", Step: string(act), Node: p.v.name})
 		if act == drain.Finish && p.v.up {
 			p.v.w.Kill(p.v.name)
 			return
--- a/scenario/read.go
+++ b/scenario/read.go
@@ -50,7 +50,7 @@
 		return
 	}
 	floor := session.FloorOf(a.c.marks, g)
-	if floor.Source == session.SourcePrimary && !a.p.v.w.guards.Out(GuardFloor) {
+	if floor.Source == session.SourcePrimary && !a.p.v.w.guards.Disabled(GuardFloor) {
 		a.queryFloor(g)
 		return
 	}
@@ -60,7 +60,7 @@
 // chooseServer routes the read, and routes it again after the wait that the router returns.
 func (a *attempt) chooseServer(floor timeline.Position) {
 	v := a.p.v
-	if v.w.guards.Out(GuardFloor) {
+	if v.w.guards.Disabled(GuardFloor) {
 		floor = timeline.Position{}
 	}
 	d := v.router.Route(v.currentView(), v.group, routing.Request{
@@ -92,7 +92,7 @@
 // own write. A replica's status from after the query shows that no majority had been fenced.
 func (a *attempt) queryFloor(g *view.Group) {
 	v := a.p.v
-	e := &floorEvidence{asked: v.w.now, witnessed: v.w.guards.Out(GuardWitnessedFloor)}
+	e := &floorEvidence{asked: v.w.now, witnessed: v.w.guards.Disabled(GuardWitnessedFloor)}
 	n := a.number
 	for _, s := range v.w.servers {
 		v.w.call(v.node, s.node, func() func() {
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -32,7 +32,7 @@
 				return w.TakeTrace()
 			case "judge":
 				runLines(t, w, "settle")
-				return describeFindings(w.Judge())
+				return describeFindings(w.Check())
 			}
 			d.Fatalf(t, "unknown command")
 			return ""
--- a/scenario/script.go
+++ b/scenario/script.go
@@ -68,7 +68,7 @@
 	case "in":
 		err = w.runLater(c)
 	case "on":
-		w.Trap(c.word(1), c.word(2), func(s Strike) { w.runAtStep(c.words[3:], s) })
+		w.OnceAtStep(c.word(1), c.word(2), func(s StepEvent) { w.runAtStep(c.words[3:], s) })
 	case "settle":
 		w.Settle()
 	default:
@@ -95,7 +95,7 @@
 
 // runAtStep executes a line at a step. "self" stands for the VM that reached the step, and
 // "its-server" for the server that the step concerns.
-func (w *World) runAtStep(words []string, s Strike) {
+func (w *World) runAtStep(words []string, s StepEvent) {
 	line := strings.Join(words, " ")
 	line = strings.NewReplacer("self", s.Node, "its-server", s.Server).Replace(line)
 	if err := w.Run(line); err != nil {
@@ -230,10 +230,10 @@
 }
 
 // OnceAtStep calls f once, when the operation reaches the step for the first time.
-func (w *World) Trap(op, step string, f func(Strike)) {
+func (w *World) OnceAtStep(op, step string, f func(StepEvent)) {
 	before := w.hook
 	done := false
-	w.hook = func(s Strike) {
+	w.hook = func(s StepEvent) {
 		if before != nil {
 			before(s)
 		}
--- a/scenario/server.go
+++ b/scenario/server.go
@@ -184,7 +184,7 @@
 	if s.role != target.RolePrimary || s.promised > s.term {
 		return timeline.Position{}, s.refuse(s.term)
 	}
-	if c.key != "" && !s.w.guards.Out(GuardKey) {
+	if c.key != "" && !s.w.guards.Disabled(GuardKey) {
 		for i, e := range s.log {
 			if e.key == c.key {
 				return timeline.Position{Term: s.term, LSN: timeline.LSN(i + 1)}, nil
--- a/scenario/trial.go
+++ b/scenario/trial.go
@@ -38,7 +38,7 @@
 	// Gap is the longest time without an acknowledged write after the fault.
 	Gap time.Duration
 	// AckWaits are the times from each commit to its acknowledgement.
-	Gated []time.Duration
+	AckWaits []time.Duration
 	// Done, NotRun and Unknown count the answers.
 	Done, NotRun, Unknown int
 	// LostConfirmed and LostOther count acknowledged writes that are missing from the surviving
@@ -168,7 +168,7 @@
 	switch c.outcome {
 	case outcome.Done:
 		s.Done++
-		s.Gated = append(s.Gated, c.ackWait)
+		s.AckWaits = append(s.AckWaits, c.ackWait)
 	case outcome.NotRun:
 		s.NotRun++
 	default:
--- a/scenario/vm.go
+++ b/scenario/vm.go
@@ -101,7 +101,7 @@
 func (v *vm) reportStartStep(name string) {
 	if !v.startSteps[name] {
 		v.startSteps[name] = true
-		v.w.reportStep(Strike{Op: "start", Step: name, Node: v.name})
+		v.w.reportStep(StepEvent{Op: "start", Step: name, Node: v.name})
 	}
 }
 
@@ -275,7 +275,7 @@
 
 func (v *vm) record(e failover.Entry) {
 	v.w.logf("%s %s term=%d server=%s%s", v.name, e.Step, e.Term, e.Server, discardedNote(e))
-	v.w.reportStep(Strike{Op: "promotion", Step: string(e.Step), Node: v.name, Server: string(e.Server)})
+	v.w.reportStep(StepEvent{Op: "promotion", Step: string(e.Step), Node: v.name, Server: string(e.Server)})
 }
 
 func discardedNote(e failover.Entry) string {
--- a/scenario/world.go
+++ b/scenario/world.go
@@ -44,11 +44,11 @@
 	heartbeat    time.Duration // of all VMs; zero for the default
 
 	// hook is called at each named step of the core; see OnceAtStep.
-	hook func(Strike)
+	hook func(StepEvent)
 }
 
 // StepEvent identifies a step that the core has just reached.
-type Strike struct {
+type StepEvent struct {
 	// Op is the operation, such as "write" or "promotion".
 	Op string
 	// Step is the core's own name of the step.
@@ -78,10 +78,10 @@
 func (w *World) Now() clock.Time { return w.now }
 
 // OnStep sets the function that is called at every step of the core.
-func (w *World) OnStep(f func(Strike)) { w.hook = f }
+func (w *World) OnStep(f func(StepEvent)) { w.hook = f }
 
 // reportStep calls the hook, if any.
-func (w *World) reportStep(s Strike) {
+func (w *World) reportStep(s StepEvent) {
 	if w.hook != nil {
 		w.hook(s)
 	}
