--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,7 +1,7 @@
-// Package experiment holds the commands that measure the decision core: the
-// policies that were weighed, in virtual time from fixed seeds, and the slopes
-// that docs/CAPACITY.md works with. What the product does not use lives below
-// this package and nowhere else.
+// Package experiment holds the commands that measure the decision core: they compare the product's
+// policies with alternatives, in virtual time from fixed seeds, and measure the slopes that
+// docs/CAPACITY.md uses. CLI is the command line. Policies that the product does not use are
+// implemented below this package and nowhere else.
 package experiment
 
 import (
@@ -18,12 +18,12 @@
 	"endivemoor.example/endivemoor/internal/experiment/reads"
 )
 
-// Env is what the commands run in.
+// Env is the environment of the commands.
 type Env struct {
 	Out io.Writer
 }
 
-// CLI is the command line.
+// CLI defines the command line.
 type CLI struct {
 	Failover FailoverCmd `cmd:"" help:"Compare the gates of acknowledgement under a failing primary."`
 	Reads    ReadsCmd    `cmd:"" help:"Compare the policies that route reads."`
@@ -35,13 +35,13 @@
 	Example  ExampleCmd  `cmd:"" help:"Write an example directory with more groups or VMs."`
 }
 
-// Options are common to the comparisons.
+// Options are the flags that the comparison commands share.
 type Options struct {
 	Parallel int    `default:"4" help:"Runs at once."`
 	Plots    string `default:"out" help:"Directory for the plots."`
 }
 
-// plot returns the path of a plot, with its directory made.
+// plot creates the directory for plots and returns the path of the named plot in it.
 func (o Options) plot(name string) (string, error) {
 	if err := os.MkdirAll(o.Plots, 0o755); err != nil {
 		return "", errors.Wrap(err, "make the directory for plots")
@@ -69,7 +69,7 @@
 	return reads.Sweep(env.Out, path, c.Seeds, c.Parallel)
 }
 
-// LoadCmd compares the policies that hand out slots.
+// LoadCmd compares the policies that allocate slots.
 type LoadCmd struct {
 	Options
 	Seeds int `default:"10" help:"Number of seeds, from 1 on."`
@@ -84,7 +84,7 @@
 	return load.Compare(env.Out, path, c.Seeds, c.Parallel)
 }
 
-// ControlCmd measures membership and the calls to the store.
+// ControlCmd measures membership and calculates the rate of calls to the store.
 type ControlCmd struct {
 	Parallel int `default:"4" help:"Runs at once."`
 }
@@ -97,13 +97,13 @@
 	return control.Membership(env.Out, c.Parallel)
 }
 
-// CapacityCmd measures how each role's work and memory grow.
+// CapacityCmd measures how the processor time and memory of each role grow.
 type CapacityCmd struct{}
 
 // Run implements the command.
 func (*CapacityCmd) Run(env *Env) error { return capacity.Run(env.Out) }
 
-// DaemonCmd measures a daemon that runs already.
+// DaemonCmd measures a running daemon.
 type DaemonCmd struct {
 	PID       int    `required:"" help:"Process of the daemon."`
 	URL       string `required:"" name:"url" help:"Connection string of a caller."`
@@ -115,8 +115,8 @@
 	return capacity.RunDaemon(env.Out, capacity.Daemon{PID: c.PID, URL: c.URL, Statement: c.Statement})
 }
 
-// ExampleCmd writes an example directory with more groups or more VMs, for
-// slopes by their number.
+// ExampleCmd writes an example directory with more groups or VMs, to measure slopes by their
+// number.
 type ExampleCmd struct {
 	Groups int    `default:"1" help:"Number of groups."`
 	VMs    int    `default:"3" name:"vms" help:"Number of VMs, each with a daemon."`
@@ -127,7 +127,7 @@
 // Run implements the command.
 func (c *ExampleCmd) Run(*Env) error { return capacity.WriteExample(c.From, c.To, c.Groups, c.VMs) }
 
-// LiveCmd measures replica reads on daemons that run already.
+// LiveCmd measures replica reads on running daemons.
 type LiveCmd struct {
 	URLs    []string `required:"" name:"urls" help:"Connection strings, one for each daemon."`
 	Metrics []string `required:"" help:"Metrics pages, in the same order."`
--- a/internal/experiment/failovercmd.go
+++ b/internal/experiment/failovercmd.go
@@ -2,7 +2,7 @@
 
 import "endivemoor.example/endivemoor/internal/experiment/failover"
 
-// FailoverCmd compares the gates of acknowledgement.
+// FailoverCmd compares the acknowledgement gates.
 type FailoverCmd struct {
 	Seeds    int    `default:"1000" help:"Number of seeds, from 1 on."`
 	Parallel int    `default:"4" help:"Runs at once."`
