--- a/internal/experiment/capacity/doc.go
+++ b/internal/experiment/capacity/doc.go
@@ -1,8 +1,9 @@
-// Package capacity measures how the state and the work of each role grow, and
-// carries the slopes to the size that the users plan for.
+// Package capacity measures how the memory and processor time of each role grow, and extrapolates
+// the slopes to the size that the users plan for. Run measures functions of the core in process;
+// RunDaemon measures a running daemon; WriteExample writes the configuration of larger test fleets.
 //
-// Each measure runs a function of the core at four sizes or more, fits a line
-// by least squares, and gives the line's worst distance from a point. Figures
-// of processor time are the best of several runs on one core; memory is the
-// growth of the live heap after a collection. docs/CAPACITY.md quotes them.
+// Each measure runs a function of the core at four sizes or more, fits a line by least squares, and
+// reports the largest residual of the line. Processor times are the best of several runs on one
+// core; memory is the growth of the live heap after a garbage collection. docs/CAPACITY.md quotes
+// the results.
 package capacity
--- a/internal/experiment/capacity/edge.go
+++ b/internal/experiment/capacity/edge.go
@@ -16,23 +16,23 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// fleets are sizes of a fleet with as many services as VMs.
+// fleets are the measured fleet sizes. Each fleet has as many services as VMs.
 var fleets = []int{10, 30, 100, 300, 1000, nodes}
 
-// edgeMeasures are those of a VM on the users' platform that uses groupsPerNode
+// edgeMeasures returns the measures of a VM on the users' platform that uses groupsPerNode
 // services.
 func edgeMeasures() []measure {
 	return []measure{
 		{"edge, pool", "a change of the configuration", "ns", "service and VM", fleets, edgeConfigTime, nodes},
 		{"edge, pool", "a change of the fleet", "ns", "service and VM", fleets, edgeFleetTime, nodes},
 		{"edge, groups", "a change of either", "ns", "service", fleets, edgeGroupsTime, nodes},
-		{"edge, groups", "a second of looking at primaries", "ns", "service", fleets, edgeLookTime, nodes},
+		{"edge, groups", "a second of looking at primaries", "ns", "service", fleets, edgePromoterTime, nodes},
 		{"edge, groups", "state, memory", "B", "service", fleets, edgeGroupsBytes, nodes},
 		{"edge, catalog", "what is known, memory", "B", "service and VM", fleets, edgeCatalogBytes, nodes},
 	}
 }
 
-// edgeCatalog is a fleet of n VMs before n services of three targets.
+// edgeCatalog returns the catalog of a fleet of n VMs and n services of three targets each.
 func edgeCatalog(n int) *catalog.Catalog {
 	h := catalog.NewHolder()
 	h.SetConfig(edgeConfig(n))
@@ -70,10 +70,10 @@
 	return c
 }
 
-// edgePool is a pool that uses a node's part of the services.
-func edgePool(c *catalog.Catalog, plan *gateways.Plan) *lane.Pool {
+// edgePool returns a pool that uses a node's share of the services.
+func edgePool(c *catalog.Catalog, assignment *gateways.Plan) *lane.Pool {
 	p := lane.NewPool(monotonic.New(), func(*catalog.Target) lane.Dialer { return nil })
-	p.Update(c, plan.Share)
+	p.Update(c, assignment.Share)
 	for i := range groupsPerNode {
 		for k, zone := range exampleZones {
 			p.Lane(edgeTarget(i, k, zone).ID)
@@ -84,11 +84,11 @@
 
 func edgeConfigTime(n int) float64 {
 	c := edgeCatalog(n)
-	plan := gateways.NewPlan("vm-0001", c)
-	p := edgePool(c, plan)
+	assignment := gateways.NewPlan("vm-0001", c)
+	p := edgePool(c, assignment)
 	return nanoseconds(func() {
-		plan = plan.Next(c, len(c.VMs))
-		p.Update(c, plan.Share)
+		assignment = assignment.Next(c, len(c.VMs))
+		p.Update(c, assignment.Share)
 	})
 }
 
@@ -124,7 +124,7 @@
 	return heapBytes(func() any { return edgeCatalog(n) })
 }
 
-func edgeLookTime(n int) float64 {
+func edgePromoterTime(n int) float64 {
 	h := catalog.NewHolder()
 	p := promoter.New(promoter.Config{Node: "vm-0001", Clock: monotonic.New(), Log: zap.NewNop(), Catalog: h, Groups: edgeGroups(edgeCatalog(n))})
 	return nanoseconds(func() {
--- a/internal/experiment/capacity/example.go
+++ b/internal/experiment/capacity/example.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// firstPort is the first server's; examples/run.sh puts each server's
-	// faults on a port of its own, chosen by the stand-in.
+	// firstPort is the port of the first server. examples/run.sh gives the fault control of each
+	// server a port of its own, which the stand-in chooses.
 	firstPort = 20411
-	// callersPort, peersPort and adminPort are those of the VMs but the first.
+	// callersPort, peersPort and adminPort are the bases of the ports of all VMs except the first.
 	callersPort = 21000
 	peersPort   = 21100
 	adminPort   = 21200
 	groupsDir   = "objects/groups"
 )
 
-// WriteExample writes an example directory for examples/run.sh: a copy of the
-// one in from, with so many groups of three servers and so many VMs.
+// WriteExample writes an example for examples/run.sh into the directory to: a copy of the example
+// in from, with the given numbers of VMs and of groups of three servers.
 func WriteExample(from, to string, groups, vms int) error {
 	if err := os.RemoveAll(to); err != nil {
 		return errors.Wrap(err, "clear the example")
@@ -67,8 +67,8 @@
 	return errors.Wrap(os.WriteFile(path, text, 0o644), "write")
 }
 
-// writeVMs writes the settings of n VMs, the first as the example has it, and
-// the platform's list of them.
+// writeVMs writes the settings of n VMs and the platform's list of VMs. The first VM keeps the
+// settings of the copied example.
 func writeVMs(to string, n int) error {
 	template := filepath.Join(to, "proxy1.ini")
 	first, err := ini.Load(template)
--- a/internal/experiment/capacity/fit.go
+++ b/internal/experiment/capacity/fit.go
@@ -5,19 +5,18 @@
 // Point is one measurement.
 type Point struct{ Size, Value float64 }
 
-// Line is a fit: Value = Base + Slope*Size.
+// Line is a fitted line: Value = Base + Slope*Size.
 type Line struct {
 	Base, Slope float64
-	// Residual is the largest distance of a point from the line, as a share of
-	// the point's value.
+	// Residual is the largest distance of a point from the line, relative to the point's value.
 	Residual float64
 }
 
-// At is the line's value at a size.
+// At returns the line's value at a size.
 func (l Line) At(size float64) float64 { return l.Base + l.Slope*size }
 
-// Fit returns the line of the least squares of relative distances: the sizes
-// span three decades, and the small ones are today's.
+// Fit returns the least-squares line of the relative distances. Distances are relative because the
+// sizes span three decades and the small ones are those of today's fleets.
 func Fit(points []Point) Line {
 	var n, sx, sy, sxx, sxy float64
 	for _, p := range points {
--- a/internal/experiment/capacity/measure.go
+++ b/internal/experiment/capacity/measure.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// enough is the least time of a timed loop, and tries how many are made.
-	enough = 40 * time.Millisecond
-	tries  = 3
+	// minLoopTime is the minimum duration of a timed loop, and loops the number of timed loops.
+	minLoopTime = 40 * time.Millisecond
+	loops       = 3
 )
 
-// nanoseconds returns the time of one call of f, the best of several loops.
+// nanoseconds returns the time of one call of f in nanoseconds, the best of several loops.
 func nanoseconds(f func()) float64 {
 	best := 0.0
-	for range tries {
+	for range loops {
 		if t := loop(f); best == 0 || t < best {
 			best = t
 		}
@@ -22,25 +22,26 @@
 	return best
 }
 
-// loop doubles the number of calls until they take long enough.
+// loop doubles the number of calls of f until they take minLoopTime, and returns the mean time of a
+// call in nanoseconds.
 func loop(f func()) float64 {
 	for n := 1; ; n *= 2 {
 		start := time.Now()
 		for range n {
 			f()
 		}
-		if took := time.Since(start); took >= enough {
+		if took := time.Since(start); took >= minLoopTime {
 			return float64(took.Nanoseconds()) / float64(n)
 		}
 	}
 }
 
-// heapBytes returns how much the live heap grows by what build returns.
+// heapBytes returns the size on the live heap of the value that build returns.
 func heapBytes(build func() any) float64 {
 	before := liveHeap()
-	kept := build()
+	value := build()
 	after := liveHeap()
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(value)
 	return float64(after) - float64(before)
 }
 
@@ -52,7 +53,7 @@
 	return m.HeapAlloc
 }
 
-// sweep measures at each size.
+// sweep runs a measure at each size.
 func sweep(sizes []int, at func(n int) float64) []Point {
 	points := make([]Point, 0, len(sizes))
 	for _, n := range sizes {
--- a/internal/experiment/capacity/process.go
+++ b/internal/experiment/capacity/process.go
@@ -16,22 +16,22 @@
 	"endivemoor.example/endivemoor/internal/experiment/report"
 )
 
-// Daemon is a running daemon that is measured from outside.
+// Daemon is a running daemon that is measured from outside its process.
 type Daemon struct {
-	// PID is its process, read through /proc.
+	// PID is its process, whose figures are read from /proc.
 	PID int
-	// URL is a caller's connection string, with the profile in it.
+	// URL is a caller's connection string, which names the profile.
 	URL string
-	// Statement is run for the processor time of a statement.
+	// Statement is the statement whose processor time is measured.
 	Statement string
 }
 
 const (
 	// tick is the unit of processor time in /proc, a hundredth of a second.
 	tick = 10 * time.Millisecond
-	// idleFor is how long the daemon's own work is watched.
-	idleFor = 10 * time.Second
-	// workers run the statements.
+	// idleDuration is how long the processor time of the idle daemon is measured.
+	idleDuration = 10 * time.Second
+	// workers is the number of connections that run the statements concurrently.
 	workers = 16
 )
 
@@ -40,14 +40,14 @@
 	statements  = []int{2000, 4000, 8000, 16000}
 )
 
-// RunDaemon measures a real daemon: memory by idle connections, processor time
-// by statements, and the processor time of its control when idle.
+// RunDaemon measures a running daemon and prints memory by idle connections, processor time by
+// statements, and the processor time of its control tasks when idle.
 func RunDaemon(out io.Writer, d Daemon) error {
 	table := report.Table{
 		Title:  "Slopes of a daemon",
 		Header: []string{"role", "what", "sizes", "measured", "fit", "worst residual", "at the planned size"},
 	}
-	idle, err := d.idle()
+	idle, err := d.idleShare()
 	if err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 	}
 	m := measure{role: "caller side", what: "resident memory", unit: "B", per: "connection", planned: callersPerNode}
 	m.add(&table, memory)
-	work, err := d.work()
+	work, err := d.statementTimes()
 	if err != nil {
 		return err
 	}
@@ -67,18 +67,18 @@
 	return table.Print(out)
 }
 
-// idle is the share of a core that the daemon uses without callers.
-func (d Daemon) idle() (float64, error) {
+// idleShare returns the share of a core that the daemon uses without callers.
+func (d Daemon) idleShare() (float64, error) {
 	before, err := d.processorTime()
 	if err != nil {
 		return 0, err
 	}
-	time.Sleep(idleFor)
+	time.Sleep(idleDuration)
 	after, err := d.processorTime()
-	return float64(after-before) / float64(idleFor), err
+	return float64(after-before) / float64(idleDuration), err
 }
 
-// memory is the resident size by the number of idle connections.
+// memory returns the resident size by the number of idle connections.
 func (d Daemon) memory() ([]Point, error) {
 	var open []*pgconn.PgConn
 	defer func() { closeAll(open) }()
@@ -91,7 +91,7 @@
 			}
 			open = append(open, c)
 		}
-		size, err := d.resident()
+		size, err := d.residentBytes()
 		if err != nil {
 			return nil, err
 		}
@@ -106,8 +106,8 @@
 	}
 }
 
-// work is the processor time by the number of statements.
-func (d Daemon) work() ([]Point, error) {
+// statementTimes returns the processor time by the number of statements.
+func (d Daemon) statementTimes() ([]Point, error) {
 	var points []Point
 	for _, n := range statements {
 		before, err := d.processorTime()
@@ -146,8 +146,8 @@
 	return group.Wait()
 }
 
-// resident is the process's resident memory in bytes.
-func (d Daemon) resident() (float64, error) {
+// residentBytes returns the process's resident memory in bytes.
+func (d Daemon) residentBytes() (float64, error) {
 	fields, err := d.proc("statm")
 	if err != nil || len(fields) < 2 {
 		return 0, err
@@ -156,7 +156,7 @@
 	return float64(pages * os.Getpagesize()), errors.Wrap(err, "resident pages")
 }
 
-// processorTime is the process's user and system time.
+// processorTime returns the sum of the process's user and system time.
 func (d Daemon) processorTime() (time.Duration, error) {
 	fields, err := d.proc("stat")
 	if err != nil {
--- a/internal/experiment/capacity/roles.go
+++ b/internal/experiment/capacity/roles.go
@@ -30,18 +30,19 @@
 	MaxAge: 5 * time.Second, Deadline: time.Second,
 }
 
-// fleetView is a view of n groups of three, with fresh evidence on a board.
+// fleetView returns a view of n groups of three servers, and a tracker with recent evidence on
+// each.
 func fleetView(n int) (*view.View, *routing.Board) {
 	v := &view.View{Groups: make(map[string]*view.Group, n)}
-	b := routing.NewBoard()
+	tracker := routing.NewBoard()
 	for i := range n {
 		g := group(i)
 		v.Groups[g.Name] = g
 		for k := range g.Servers {
-			observe(b, g, k, origin)
+			observe(tracker, g, k, origin)
 		}
 	}
-	return v, b
+	return v, tracker
 }
 
 func group(i int) *view.Group {
@@ -54,11 +55,11 @@
 	return g
 }
 
-func observe(b *routing.Board, g *view.Group, k int, now clock.Time) {
+func observe(tracker *routing.Board, g *view.Group, k int, now clock.Time) {
 	st := status(g, k, now)
-	b.Observe(st.Server, st, now, now)
+	tracker.Observe(st.Server, st, now, now)
 	if k == 0 {
-		b.ObservePrimary(g.Name, st.Position(), now)
+		tracker.ObservePrimary(g.Name, st.Position(), now)
 	}
 }
 
@@ -70,54 +71,54 @@
 	return st
 }
 
-// routeTime is a read's decision with n groups in the view.
+// routeTime measures the routing decision of a read with n groups in the view.
 func routeTime(n int) float64 {
-	v, b := fleetView(n)
-	r := routing.NewRouter(b, routing.Evidence{}, 1)
+	v, tracker := fleetView(n)
+	r := routing.NewRouter(tracker, routing.Evidence{}, 1)
 	g := v.Groups["group-0000"]
 	req := routing.Request{Kind: browse, Zone: "b", Now: origin + 1}
 	return nanoseconds(func() { r.Route(v, g, req) })
 }
 
-// boardBytes is the memory of the evidence on n groups, samples full.
-func boardBytes(n int) float64 {
+// trackerBytes measures the memory of the evidence on n groups with full sample buffers.
+func trackerBytes(n int) float64 {
 	return heapBytes(func() any {
-		v, b := fleetView(n)
+		v, tracker := fleetView(n)
 		for _, g := range v.Groups {
 			for i := range clock.Time(300) {
-				observe(b, g, 0, origin+i*clock.Time(100*time.Millisecond))
+				observe(tracker, g, 0, origin+i*clock.Time(100*time.Millisecond))
 			}
 		}
-		return []any{v, b}
+		return []any{v, tracker}
 	})
 }
 
-// probeTime is the work on the evidence of one probe round of n groups.
+// probeTime measures the recording of the evidence of one probe round of n groups.
 func probeTime(n int) float64 {
-	v, b := fleetView(n)
+	v, tracker := fleetView(n)
 	now := origin
 	return nanoseconds(func() {
 		now += clock.Time(100 * time.Millisecond)
 		for _, g := range v.Groups {
 			for k := range g.Servers {
-				observe(b, g, k, now)
+				observe(tracker, g, k, now)
 			}
 		}
 	})
 }
 
-// queueTime is an admission and its end with n kinds waiting.
+// queueTime measures one admission and its release while n kinds have a request waiting.
 func queueTime(n int) float64 {
 	q := admission.NewQueue(admission.Config{Slots: 1, MaxQueued: n + 1})
-	now, far := origin, origin+clock.Time(time.Hour)
-	q.Offer(now, browse, far)
+	now, deadline := origin, origin+clock.Time(time.Hour)
+	q.Offer(now, browse, deadline)
 	for i := range n {
-		q.Offer(now, &profile.Kind{Name: fmt.Sprint(i), Worth: 1}, far)
+		q.Offer(now, &profile.Kind{Name: fmt.Sprint(i), Worth: 1}, deadline)
 	}
 	var granted []admission.Ticket
 	return nanoseconds(func() {
 		now++
-		q.Offer(now, browse, far)
+		q.Offer(now, browse, deadline)
 		granted = q.Done(now, browse, time.Millisecond, granted[:0])
 	})
 }
@@ -130,7 +131,7 @@
 	return m
 }
 
-// tokenTime is the issue and the check of a token with n groups.
+// tokenTime measures the issue and verification of a session token with n groups.
 func tokenTime(n int) float64 {
 	secret := bytes.Repeat([]byte("k"), session.MinKeyBytes)
 	keys, err := session.NewKeys("k", map[string][]byte{"k": secret})
@@ -144,9 +145,9 @@
 	})
 }
 
-// ownerTime is one second of n groups' machines: 50 ticks and 30 answers each.
+// ownerTime measures one second of n groups' state machines: 50 ticks and 30 replies each.
 func ownerTime(n int) float64 {
-	machines, views := owned(n)
+	machines, views := newMachines(n)
 	cfg := failover.Default()
 	now := origin
 	const ticks = 50
@@ -155,15 +156,15 @@
 			now = now.Add(cfg.Tick)
 			for i, m := range machines {
 				for _, a := range m.Step(now, failover.Tick{}) {
-					answer(m, views[i], a, now)
+					respond(m, views[i], a, now)
 				}
 			}
 		}
 	})
 }
 
-// answer gives a machine what a healthy group and store would.
-func answer(m *failover.Machine, g *view.Group, a failover.Action, now clock.Time) {
+// respond passes the replies of a healthy group and store to a machine.
+func respond(m *failover.Machine, g *view.Group, a failover.Action, now clock.Time) {
 	switch a := a.(type) {
 	case failover.Probe:
 		for k := range g.Servers {
@@ -182,7 +183,7 @@
 	}
 }
 
-func owned(n int) ([]*failover.Machine, []*view.Group) {
+func newMachines(n int) ([]*failover.Machine, []*view.Group) {
 	cfg := failover.Default()
 	cfg.VM, cfg.Zone, cfg.Incarnation = "vm-0000", "a", "vm-0000/1"
 	cfg.Zones = []string{"a", "b", "c"}
@@ -199,13 +200,13 @@
 
 func ownerBytes(n int) float64 {
 	return heapBytes(func() any {
-		machines, views := owned(n)
+		machines, views := newMachines(n)
 		return []any{machines, views}
 	})
 }
 
-// profiles is the text of n profiles of four kinds.
-func profiles(n int) []byte {
+// profileText returns the text of n profiles of four kinds.
+func profileText(n int) []byte {
 	var b strings.Builder
 	for i := range n {
 		fmt.Fprintf(&b, "[shop-%d]\nmax-read-age = 10s\ndefault-kind = purchase\n", i)
@@ -217,13 +218,13 @@
 }
 
 func parseTime(n int) float64 {
-	text := profiles(n)
+	text := profileText(n)
 	return nanoseconds(func() { inifile.Parse("p.ini", text) })
 }
 
 func profileBytes(n int) float64 {
 	return heapBytes(func() any {
-		text := profiles(n)
+		text := profileText(n)
 		set, _ := inifile.Parse("p.ini", text)
 		return []any{text, set}
 	})
@@ -237,7 +238,7 @@
 	return out
 }
 
-func member(n int) *membership.Machine {
+func newMember(n int) *membership.Machine {
 	m := membership.New(membership.Config{Incarnation: 1, Seed: 1}, vms(1)[0])
 	var e membership.Listed
 	for _, vm := range vms(n) {
@@ -247,10 +248,10 @@
 	return m
 }
 
-// memberTime is one round of a machine in a fleet of n: a tick and four
-// exchanges, two each way.
+// memberTime measures one round of a membership machine in a fleet of n VMs: a tick and four
+// exchanges, two in each direction.
 func memberTime(n int) float64 {
-	m, all, now := member(n), vms(n), origin
+	m, all, now := newMember(n), vms(n), origin
 	return nanoseconds(func() {
 		now += clock.Time(500 * time.Millisecond)
 		m.Step(now, membership.Tick{})
@@ -263,11 +264,10 @@
 }
 
 func memberBytes(n int) float64 {
-	return heapBytes(func() any { return member(n) })
+	return heapBytes(func() any { return newMember(n) })
 }
 
-// assignTime is the assignment of n groups after a change among the planned
-// fleet's VMs.
+// assignTime measures the assignment of n groups after a change of the planned fleet's VMs.
 func assignTime(n int) float64 {
 	all := vms(nodes)
 	return nanoseconds(func() {
@@ -278,9 +278,9 @@
 	})
 }
 
-// auditTime is the entry of a change after n earlier ones.
+// auditTime measures the creation of an audit entry after n earlier entries.
 func auditTime(n int) float64 {
-	head, draft := audit.Head{}, change()
+	head, draft := audit.Head{}, auditDraft()
 	for range n {
 		e := audit.Next(head, draft)
 		head = audit.Head{Seq: e.Seq, Digest: e.Digest}
@@ -288,7 +288,7 @@
 	return nanoseconds(func() { audit.Next(head, draft) })
 }
 
-func change() audit.Draft {
+func auditDraft() audit.Draft {
 	return audit.Draft{
 		ID: "0190f2a0-0000-7000-8000-000000000000", Time: time.Unix(1_800_000_000, 0).UTC(),
 		Actor: "operator", Action: audit.ProfileDrafted, Reason: "raise the worth of a confirmation",
@@ -296,11 +296,11 @@
 	}
 }
 
-// auditBytes is the length of n entries as they are kept.
+// auditBytes measures the stored length of n audit entries.
 func auditBytes(n int) float64 {
 	head, entries := audit.Head{}, make([]audit.Entry, 0, n)
 	for range n {
-		e := audit.Next(head, change())
+		e := audit.Next(head, auditDraft())
 		head = audit.Head{Seq: e.Seq, Digest: e.Digest}
 		entries = append(entries, e)
 	}
--- a/internal/experiment/capacity/run.go
+++ b/internal/experiment/capacity/run.go
@@ -7,24 +7,24 @@
 	"endivemoor.example/endivemoor/internal/experiment/report"
 )
 
-// The size that the users plan for, by node.
+// The size that the users plan for, for each node.
 const (
 	nodes = 2900
-	// callersPerNode and statementsPerNode are 6.2 million and 1.2 million a
-	// second over all nodes.
+	// callersPerNode and statementsPerNode divide 6.2 million connections and 1.2 million
+	// statements a second over all nodes.
 	callersPerNode    = 6_200_000.0 / nodes
 	statementsPerNode = 1_200_000.0 / nodes
-	// groupsPerNode are those that a node probes: five nodes probe each group,
-	// and there are as many groups as nodes.
+	// groupsPerNode is the number of groups that a node probes: five nodes probe each group, and
+	// there are as many groups as nodes.
 	groupsPerNode = 5
 )
 
-// measure is one function of the core at several sizes.
+// measure describes the measurement of one function of the core at several sizes.
 type measure struct {
 	role, what, unit, per string
 	sizes                 []int
 	at                    func(n int) float64
-	// planned is the size at one node of the planned fleet.
+	// planned is the size on one node of the planned fleet.
 	planned float64
 }
 
@@ -36,7 +36,7 @@
 		{"caller side", "session token, issue and check", "ns", "group in the token", []int{1, 2, 4, 8, 16}, tokenTime, 1},
 		{"pool", "slot taken and given back", "ns", "kind waiting", []int{1, 4, 16, 64}, queueTime, 4},
 		{"prober", "evidence of a round of probes", "ns", "group", groupSizes, probeTime, groupsPerNode},
-		{"prober", "evidence, memory", "B", "group", groupSizes, boardBytes, groupsPerNode},
+		{"prober", "evidence, memory", "B", "group", groupSizes, trackerBytes, groupsPerNode},
 		{"group owner", "one second of the machine", "ns", "group", []int{1, 4, 16, 64, 256}, ownerTime, groupsPerNode},
 		{"group owner", "machine, memory", "B", "group", []int{1, 16, 64, 256, 1024}, ownerBytes, groupsPerNode},
 		{"configuration", "text checked and taken", "ns", "profile", []int{1, 10, 50, 100, 200}, parseTime, 100},
@@ -49,7 +49,7 @@
 	}...)
 }
 
-// Run measures all and prints the slopes.
+// Run runs all measures and prints the slopes.
 func Run(out io.Writer) error {
 	table := report.Table{
 		Title: "Slopes",
@@ -70,9 +70,9 @@
 func (m *measure) add(table *report.Table, points []Point) {
 	line := Fit(points)
 	table.Add(m.role, m.what, sizesOf(points), valuesOf(points, m.unit),
-		fmt.Sprintf("%s + %s a %s", si(line.Base, m.unit), si(line.Slope, m.unit), m.per),
+		fmt.Sprintf("%s + %s a %s", formatSI(line.Base, m.unit), formatSI(line.Slope, m.unit), m.per),
 		report.Percent(line.Residual),
-		fmt.Sprintf("%s (%.4g)", si(line.At(m.planned), m.unit), m.planned))
+		fmt.Sprintf("%s (%.4g)", formatSI(line.At(m.planned), m.unit), m.planned))
 }
 
 func sizesOf(points []Point) string {
@@ -92,13 +92,13 @@
 		if i > 0 {
 			s += ", "
 		}
-		s += si(p.Value, unit)
+		s += formatSI(p.Value, unit)
 	}
 	return s
 }
 
-// si formats nanoseconds and bytes with a prefix.
-func si(v float64, unit string) string {
+// formatSI formats nanoseconds or bytes with an SI prefix.
+func formatSI(v float64, unit string) string {
 	steps := []string{"B", "kB", "MB", "GB"}
 	if unit == "ns" {
 		steps = []string{"ns", "µs", "ms", "s"}
