--- a/internal/experiment/control/fleet.go
+++ b/internal/experiment/control/fleet.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	zones     = 6
-	interval  = 500 * time.Millisecond
-	listEvery = 5 * time.Second
-	// listLag is how long the platform goes on listing a VM that died.
-	listLag  = 60 * time.Second
-	hop      = time.Millisecond
-	warmUp   = 20 * time.Second
-	observed = 60 * time.Second
+	zones            = 6
+	exchangeInterval = 500 * time.Millisecond
+	listInterval     = 5 * time.Second
+	// listLag is how long the platform still lists a VM that failed.
+	listLag      = 60 * time.Second
+	messageDelay = time.Millisecond
+	warmUp       = 20 * time.Second
+	measuredFor  = 60 * time.Second
 )
 
-// fleet is n machines that exchange records.
+// fleet is a simulated fleet whose membership machines exchange records.
 type fleet struct {
 	s    *sim.Scheduler
 	rnd  *rand.Rand
@@ -33,20 +33,20 @@
 	vms  []*vm
 	byID map[string]*vm
 	dead map[string]clock.Time
-	// bytes counts what all VMs sent after the warm-up.
+	// bytes is the number of bytes that all VMs sent after the warm-up.
 	bytes    int
 	counting bool
-	// falsely counts removals of VMs that were up.
-	falsely int
+	// falseRemovals is the number of removals of live VMs after the warm-up.
+	falseRemovals int
 }
 
-// vm is one member with what it believed last.
+// vm is one member and its newest membership state.
 type vm struct {
 	self    membership.VM
 	machine *membership.Machine
 	live    map[string]bool
-	// dropped is when it dropped a VM that had died.
-	dropped map[string]clock.Time
+	// removedAt is the time at which this VM removed each failed VM.
+	removedAt map[string]clock.Time
 }
 
 func newFleet(n int, loss float64, seed uint64) *fleet {
@@ -60,8 +60,8 @@
 			Zone: fmt.Sprintf("zone-%d", i%zones),
 			Addr: "192.0.2.100:7441",
 		}
-		cfg := membership.Config{Interval: interval, Incarnation: seed + 1, Seed: seed*10000 + uint64(i)}
-		x := &vm{self: self, machine: membership.New(cfg, self), dropped: make(map[string]clock.Time)}
+		cfg := membership.Config{Interval: exchangeInterval, Incarnation: seed + 1, Seed: seed*10000 + uint64(i)}
+		x := &vm{self: self, machine: membership.New(cfg, self), removedAt: make(map[string]clock.Time)}
 		f.vms = append(f.vms, x)
 		f.byID[self.ID] = x
 	}
@@ -70,23 +70,23 @@
 
 func (f *fleet) start() {
 	for _, x := range f.vms {
-		f.list(x)
-		f.s.After(time.Duration(f.rnd.Int64N(int64(interval))), func() {
-			f.s.Every(interval, func() { f.step(x, membership.Tick{}) })
+		f.readList(x)
+		f.s.After(time.Duration(f.rnd.Int64N(int64(exchangeInterval))), func() {
+			f.s.Every(exchangeInterval, func() { f.step(x, membership.Tick{}) })
 		})
-		f.s.After(time.Duration(f.rnd.Int64N(int64(listEvery))), func() {
-			f.s.Every(listEvery, func() { f.list(x) })
+		f.s.After(time.Duration(f.rnd.Int64N(int64(listInterval))), func() {
+			f.s.Every(listInterval, func() { f.readList(x) })
 		})
 	}
 }
 
-func (f *fleet) down(id string) bool { _, ok := f.dead[id]; return ok }
+func (f *fleet) isDead(id string) bool { _, ok := f.dead[id]; return ok }
 
-// list reads the platform's lagging list.
-func (f *fleet) list(x *vm) {
+// readList passes the platform's lagging VM list to x.
+func (f *fleet) readList(x *vm) {
 	var e membership.Listed
 	for _, y := range f.vms {
-		if at, gone := f.dead[y.self.ID]; gone && f.s.Now().Sub(at) > listLag {
+		if at, dead := f.dead[y.self.ID]; dead && f.s.Now().Sub(at) > listLag {
 			continue
 		}
 		e.VMs = append(e.VMs, store.VM{ID: y.self.ID, Zone: y.self.Zone, Addr: y.self.Addr})
@@ -95,7 +95,7 @@
 }
 
 func (f *fleet) step(x *vm, ev membership.Event) {
-	if f.down(x.self.ID) {
+	if f.isDead(x.self.ID) {
 		return
 	}
 	for _, a := range x.machine.Step(f.s.Now(), ev) {
@@ -103,24 +103,24 @@
 		case membership.Exchange:
 			f.exchange(x, a.With)
 		case membership.Changed:
-			f.changed(x)
+			f.recordRemovals(x)
 		}
 	}
 }
 
-// exchange carries one request and its reply, either of which may be lost.
+// exchange transmits one request and its reply, either of which may be lost.
 func (f *fleet) exchange(x *vm, with membership.VM) {
-	request := f.message(x)
-	f.s.After(hop, func() {
+	request := f.newMessage(x)
+	f.s.After(messageDelay, func() {
 		y := f.byID[with.ID]
-		if f.down(with.ID) || f.rnd.Float64() < f.loss {
-			f.s.After(hop, func() { f.step(x, membership.Unanswered{ID: with.ID}) })
+		if f.isDead(with.ID) || f.rnd.Float64() < f.loss {
+			f.s.After(messageDelay, func() { f.step(x, membership.Unanswered{ID: with.ID}) })
 			return
 		}
 		f.step(y, request)
-		reply := f.message(y)
+		reply := f.newMessage(y)
 		lost := f.rnd.Float64() < f.loss
-		f.s.After(hop, func() {
+		f.s.After(messageDelay, func() {
 			if lost {
 				f.step(x, membership.Unanswered{ID: with.ID})
 				return
@@ -130,7 +130,7 @@
 	})
 }
 
-func (f *fleet) message(x *vm) membership.Exchanged {
+func (f *fleet) newMessage(x *vm) membership.Exchanged {
 	m := membership.Exchanged{From: x.machine.Self(), Others: x.machine.Records(f.s.Now())}
 	if f.counting {
 		f.bytes += size(m)
@@ -138,7 +138,7 @@
 	return m
 }
 
-// size is the message's length on the wire, without headers.
+// size returns the message's length on the wire, without headers.
 func size(m membership.Exchanged) int {
 	n := recordSize(m.From)
 	for _, r := range m.Others {
@@ -147,7 +147,7 @@
 	return n
 }
 
-// fieldOverhead is the tag and length of a record within its message.
+// fieldOverhead is the number of bytes for the tag and length of a record within its message.
 const fieldOverhead = 2
 
 func recordSize(r membership.Record) int {
@@ -157,8 +157,8 @@
 	})
 }
 
-// changed notes what x dropped.
-func (f *fleet) changed(x *vm) {
+// recordRemovals records which VMs x removed since its previous membership state.
+func (f *fleet) recordRemovals(x *vm) {
 	next := make(map[string]bool)
 	for _, v := range x.machine.Live() {
 		next[v.ID] = true
@@ -167,10 +167,10 @@
 		if next[id] {
 			continue
 		}
-		if f.down(id) {
-			x.dropped[id] = f.s.Now()
+		if f.isDead(id) {
+			x.removedAt[id] = f.s.Now()
 		} else if f.counting {
-			f.falsely++
+			f.falseRemovals++
 		}
 	}
 	x.live = next
--- a/internal/experiment/control/run.go
+++ b/internal/experiment/control/run.go
@@ -14,19 +14,19 @@
 	"endivemoor.example/endivemoor/store"
 )
 
-// Result is what a fleet of one size showed when one of its VMs died.
+// Result is the measurement of the failure of one VM in a fleet of one size.
 type Result struct {
-	// Detection is the time until each survivor dropped the dead VM, in ms.
+	// Detection is the time in ms until each surviving VM removed the failed VM.
 	Detection *hdrhistogram.Histogram
-	// Missed are survivors that had not dropped it when the run ended.
+	// Missed is the number of surviving VMs that had not removed it when the run ended.
 	Missed int
-	// Falsely are removals of VMs that were up.
+	// FalseRemovals is the number of removals of live VMs.
 	Falsely int
-	// Bytes is what one VM sent a second.
+	// Bytes is the mean number of bytes that a VM sent per second.
 	Bytes float64
 }
 
-// Die kills one VM of n and watches the others.
+// MeasureFailure kills one of n VMs and measures its removal by the others.
 func Die(n int, loss float64, seed uint64) Result {
 	f := newFleet(n, loss, seed)
 	f.start()
@@ -35,32 +35,32 @@
 	victim := f.vms[f.rnd.IntN(n)].self.ID
 	at := f.s.Now()
 	f.dead[victim] = at
-	f.s.Run(observed)
+	f.s.Run(measuredFor)
 	r := Result{
 		Detection: newHistogram(),
-		Falsely:   f.falsely,
-		Bytes:     float64(f.bytes) / float64(n) / observed.Seconds(),
+		Falsely:   f.falseRemovals,
+		Bytes:     float64(f.bytes) / float64(n) / measuredFor.Seconds(),
 	}
 	for _, x := range f.vms {
 		if x.self.ID == victim {
 			continue
 		}
-		dropped, ok := x.dropped[victim]
+		removed, ok := x.removedAt[victim]
 		if !ok {
 			r.Missed++
 			continue
 		}
-		_ = r.Detection.RecordValue(dropped.Sub(at).Milliseconds())
+		_ = r.Detection.RecordValue(removed.Sub(at).Milliseconds())
 	}
 	return r
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, observed.Milliseconds()*2, 3)
+	return hdrhistogram.New(1, measuredFor.Milliseconds()*2, 3)
 }
 
-// dieSeeds adds several seeds up.
-func dieSeeds(n int, loss float64, seeds, parallel int) Result {
+// measureSeeds runs seeds 1 to seeds, up to parallel at once, and merges their results.
+func measureSeeds(n int, loss float64, seeds, parallel int) Result {
 	all := make([]Result, seeds)
 	var group errgroup.Group
 	group.SetLimit(parallel)
@@ -81,10 +81,10 @@
 	return sum
 }
 
-// fleetSizes of the runs; the larger ones use fewer seeds.
+// fleetSizes are the fleet sizes of the runs. The larger ones use fewer seeds.
 var fleetSizes = []struct{ n, seeds int }{{9, 20}, {27, 20}, {81, 10}, {243, 4}, {729, 2}}
 
-// Membership prints how soon a death is known and what it costs.
+// Membership prints how soon a VM failure is detected, and the bytes sent for it.
 func Membership(out io.Writer, parallel int) error {
 	table := report.Table{
 		Title: "Membership: one VM dies, the list goes on naming it",
@@ -93,7 +93,7 @@
 	}
 	for _, size := range fleetSizes {
 		for _, loss := range []float64{0, 0.05} {
-			r := dieSeeds(size.n, loss, size.seeds, parallel)
+			r := measureSeeds(size.n, loss, size.seeds, parallel)
 			table.Add(size.n, report.Percent(loss), size.seeds, seconds(r.Detection.ValueAtQuantile(50)),
 				seconds(r.Detection.ValueAtQuantile(99)), seconds(r.Detection.Max()),
 				r.Missed, r.Falsely, fmt.Sprintf("%.1f KB/s", r.Bytes/1000))
@@ -104,28 +104,31 @@
 
 func seconds(ms int64) string { return fmt.Sprintf("%.1f s", float64(ms)/1000) }
 
-// storeSizes are VMs and groups, in equal number.
+// storeSizes are the fleet sizes of StoreCalls. Each fleet has as many groups as VMs.
 var storeSizes = []int{3, 9, 30, 100, 300, 1000, 2900}
 
 const (
-	// These are the daemon's settings: leases are renewed, and read by the
-	// group's other probers, every leaseRenew; watchers read the list every
-	// listEvery and the other VMs no more often than every listSeldom.
-	leaseRenew = 2 * time.Second
-	listSeldom = 30 * time.Second
-	watchWait  = 20 * time.Second
-	// perZone VMs of each zone watch, prefixes each.
-	perZone  = 2
-	prefixes = 3
-	probers  = 5
-	// changesPerNode is the letter's 6,500 changes a day over 2,900 nodes.
+	// These are the daemon's settings. Every leaseRenew, a group's lease is renewed, and is read by
+	// the group's other probers. Designated watchers read the VM list every listInterval, the other
+	// VMs at most every nonWatcherListInterval.
+	leaseRenew             = 2 * time.Second
+	nonWatcherListInterval = 30 * time.Second
+	watchWait              = 20 * time.Second
+	// watchersPerZone is the number of designated watchers in each zone, prefixesPerWatcher the
+	// number of prefixes that each of them watches.
+	watchersPerZone    = 2
+	prefixesPerWatcher = 3
+	probers            = 5
+	// changesPerNode is the number of changes a second for each node: the planned 6,500 changes a
+	// day over 2,900 nodes.
 	changesPerNode = 6500.0 / 2900 / 86400
-	// writesPerChange are the store writes of one change: draft, review,
-	// publication and an audit entry for each.
+	// writesPerChange is the number of store writes of one change: draft, review and publication,
+	// and an audit entry for each.
 	writesPerChange = 6
 )
 
-// StoreCalls prints the calls a second by purpose as VMs and groups grow.
+// StoreCalls prints the calculated calls to the store per second and purpose by the number of VMs
+// and groups.
 func StoreCalls(out io.Writer) error {
 	table := report.Table{
 		Title: "Calls to the store a second (worked out from the settings)",
@@ -134,16 +137,16 @@
 	}
 	b := ownership.DefaultBudget()
 	for _, n := range storeSizes {
-		askers := n * min(n, probers)
-		fixed := float64(askers) / leaseRenew.Seconds()
-		lease := calls(b, store.PurposeLease, askers, leaseRenew)
-		watching := watchersOf(n)
-		list := float64(watching)/listEvery.Seconds() +
-			float64(n-watching)/b.Interval(store.PurposeVMs, n, listSeldom).Seconds()
-		watches := float64(watching*prefixes) / watchWait.Seconds()
+		requesters := n * min(n, probers)
+		fixed := float64(requesters) / leaseRenew.Seconds()
+		lease := calls(b, store.PurposeLease, requesters, leaseRenew)
+		watching := watcherCount(n)
+		list := float64(watching)/listInterval.Seconds() +
+			float64(n-watching)/b.Interval(store.PurposeVMs, n, nonWatcherListInterval).Seconds()
+		watches := float64(watching*prefixesPerWatcher) / watchWait.Seconds()
 		changes := float64(n) * changesPerNode * writesPerChange
-		rest := list + watches + changes
-		table.Add(n, fixed, lease, list, watches, changes, fixed+rest, lease+rest)
+		other := list + watches + changes
+		table.Add(n, fixed, lease, list, watches, changes, fixed+other, lease+other)
 	}
 	return table.Print(out)
 }
@@ -152,10 +155,10 @@
 	return float64(n) / b.Interval(p, n, least).Seconds()
 }
 
-func watchersOf(n int) int {
+func watcherCount(n int) int {
 	var vms []membership.VM
 	for i := range n {
 		vms = append(vms, membership.VM{ID: fmt.Sprint("vm-", i), Zone: fmt.Sprint("zone-", i%min(zones, n))})
 	}
-	return len(ownership.NewRing(vms).Watchers("store-watch", perZone))
+	return len(ownership.NewRing(vms).Watchers("store-watch", watchersPerZone))
 }
