--- a/internal/experiment/failover/cases.go
+++ b/internal/experiment/failover/cases.go
@@ -7,40 +7,41 @@
 	"endivemoor.example/endivemoor/scenario"
 )
 
-// gateCase is one of the gates that are compared.
+// gateCase is one of the compared gates.
 type gateCase struct {
 	name  string
 	gate  ack.Gate
-	delay time.Duration // failover.Config.PromoteDelay that it needs
+	delay time.Duration // failover.Config.PromoteDelay that the gate needs
 }
 
 const (
-	// maxDrift bounds the clocks' difference in rate.
+	// maxDrift is the maximum relative difference in rate between two clocks.
 	maxDrift = 0.001
-	// margin is allowed for the answer's way.
+	// margin is the allowance for the network delay of the reply.
 	margin = 5 * time.Millisecond
-	// permission is what scenario grants, on a clock that may be slower.
-	permission = 352 * time.Millisecond
-	// confirmedShare is the share of writes that may not be lost, in percent.
+	// permissionDuration is the permission that package scenario grants, on a clock that may be
+	// slower.
+	permissionDuration = 352 * time.Millisecond
+	// confirmedShare is the percentage of writes that must not be lost.
 	confirmedShare = 50
-	// streamAfter is how long writes go on after a fault.
-	streamAfter = 6 * time.Second
+	// writesAfterFault is how long writes continue after a fault.
+	writesAfterFault = 6 * time.Second
 )
 
 var lease = ack.Lease{MaxDrift: maxDrift, Margin: margin}
 
-// standardGate is the product's.
+// standardGate is the gate that the product uses.
 var standardGate = gateCase{"confirm+witness", ack.Standard(), 0}
 
 var gateCases = []gateCase{
 	{"confirm", ack.Confirm{}, 0},
 	{"witness", ack.Witness{}, 0},
-	{"lease", lease, permission},
+	{"lease", lease, permissionDuration},
 	standardGate,
-	{"confirm+lease", ack.Mix{Confirmed: ack.Confirm{}, Rest: lease}, permission},
+	{"confirm+lease", ack.Mix{Confirmed: ack.Confirm{}, Rest: lease}, permissionDuration},
 }
 
-// faultCase is a fault, with what is wrong before and what is mended after.
+// faultCase is a fault, with the conditions set before it and the repairs made after it.
 type faultCase struct {
 	name                 string
 	before, fault, after []string
@@ -51,7 +52,7 @@
 	return scenario.Trial{
 		Gate: g.gate, PromoteDelay: g.delay, Confirmed: confirmedShare,
 		Before: f.before, Fault: f.fault, After: f.after, AfterDelay: f.afterDelay,
-		Length: streamAfter,
+		Length: writesAfterFault,
 	}
 }
 
--- a/internal/experiment/failover/compare.go
+++ b/internal/experiment/failover/compare.go
@@ -12,7 +12,7 @@
 	"endivemoor.example/endivemoor/scenario"
 )
 
-// tally sums the samples of one gate under one fault.
+// tally accumulates the samples of one gate under one fault.
 type tally struct {
 	mu            sync.Mutex
 	gap, gated    *hdrhistogram.Histogram
@@ -25,16 +25,16 @@
 }
 
 const (
-	// digits of the histograms.
+	// digits is the number of significant digits of the histograms.
 	digits = 3
-	// longest is the greatest time that is counted.
-	longest = time.Minute
+	// maxRecorded is the longest time that the histograms can record.
+	maxRecorded = time.Minute
 )
 
 func newTally() *tally {
 	return &tally{
-		gap:   hdrhistogram.New(1, longest.Microseconds(), digits),
-		gated: hdrhistogram.New(1, longest.Microseconds(), digits),
+		gap:   hdrhistogram.New(1, maxRecorded.Microseconds(), digits),
+		gated: hdrhistogram.New(1, maxRecorded.Microseconds(), digits),
 	}
 }
 
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// play runs a trial over seeds 1 to n.
+// play runs a trial with seeds 1 to n.
 func play(trial scenario.Trial, n, parallel int) (*tally, error) {
 	t := newTally()
 	var group errgroup.Group
@@ -82,7 +82,7 @@
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Compare prints the gates under every fault.
+// Compare prints the results of all gates under each fault.
 func Compare(out io.Writer, seeds, parallel int) error {
 	table := report.Table{
 		Title: "Gates under a failing primary",
@@ -105,12 +105,12 @@
 	return table.Print(out)
 }
 
-// heartbeats are the intervals that are compared.
+// heartbeats are the compared heartbeat intervals.
 var heartbeats = []time.Duration{
 	100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond,
 }
 
-// Heartbeats prints the gap by the interval between heartbeats.
+// Heartbeats prints the failover gap by heartbeat interval.
 func Heartbeats(out io.Writer, seeds, parallel int) error {
 	table := report.Table{
 		Title:  "Gap by heartbeat, gate confirm+witness",
@@ -131,11 +131,11 @@
 	return table.Print(out)
 }
 
-// lossLength is how long heartbeats are lost in a run.
+// lossLength is how long heartbeats are dropped in a run.
 const lossLength = 60 * time.Second
 
-// FalsePromotions counts promotions over a healthy primary, by the share of
-// heartbeats that are lost.
+// FalsePromotions prints the number of promotions that replace a healthy primary, by the share of
+// lost heartbeats.
 func FalsePromotions(out io.Writer, seeds, parallel int) error {
 	runs := max(1, seeds/10)
 	table := report.Table{
--- a/internal/experiment/failover/compare_test.go
+++ b/internal/experiment/failover/compare_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Whatever fails, no gate that asks a replica for the write loses one, and all
-// runs end with a group that serves.
+// Failure guarded against: under one of the faults, a gate that confirms writes with a replica
+// loses a confirmed write, or a run ends with a group that does not serve or with a finding.
 func TestConfirmLosesNothing(t *testing.T) {
 	for _, f := range faultCases {
 		for _, g := range gateCases {
