--- a/internal/experiment/live/live.go
+++ b/internal/experiment/live/live.go
@@ -1,6 +1,6 @@
-// Package live measures replica reads on running daemons: the share that
-// replicas serve, and whether a session that roams to another daemon with its
-// token finds what it just wrote.
+// Package live measures replica reads on running daemons: the share of reads that replicas serve,
+// and whether a session that reconnects to another daemon with its token reads its own last write.
+// Run is the measurement; it starts and stops no daemon.
 package live
 
 import (
@@ -22,40 +22,40 @@
 	"endivemoor.example/endivemoor/internal/experiment/report"
 )
 
-// Config says what to run against.
+// Config describes the daemons and the load.
 type Config struct {
 	// URLs are callers' connection strings, one for each daemon.
 	URLs []string
 	// Metrics are the daemons' metrics pages, in the same order.
 	Metrics []string
-	// Reads is the number of reads in all.
+	// Reads is the total number of reads.
 	Reads int
 	Seed  uint64
 }
 
 const (
 	workers = 16
-	// justWrote is the share of reads by a session that wrote thinkTime ago.
-	justWrote = 0.05
-	thinkTime = 50 * time.Millisecond
-	// tokenParameter carries the session token, both ways.
+	// ownWriteShare is the share of reads by a session that wrote thinkTime ago.
+	ownWriteShare = 0.05
+	thinkTime     = 50 * time.Millisecond
+	// tokenParameter carries the session token in both directions.
 	tokenParameter = "endivemoor.session"
 	readsMetric    = "endivemoor_reads_total"
 )
 
-// tally is what the callers saw.
+// tally accumulates the results of all callers.
 type tally struct {
-	mu               sync.Mutex
-	plain, own       *hdrhistogram.Histogram
-	owned, unread    int
-	failed, answered int
+	mu                        sync.Mutex
+	plain, own                *hdrhistogram.Histogram
+	ownReads, ownWritesMissed int
+	failed, answered          int
 }
 
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 }
 
-// Run reads and writes through the daemons and prints what came of it.
+// Run reads and writes through the daemons and prints the results.
 func Run(out io.Writer, c Config) error {
 	before, err := c.served()
 	if err != nil {
@@ -85,7 +85,7 @@
 		Header: []string{"reads", "by replicas", "failed", "after own write", "own write unread",
 			"p50", "p99", "p50 after own write", "p99"},
 	}
-	table.Add(t.answered+t.failed, report.Percent(replica/max(replica+primary, 1)), t.failed, t.owned, t.unread,
+	table.Add(t.answered+t.failed, report.Percent(replica/max(replica+primary, 1)), t.failed, t.ownReads, t.ownWritesMissed,
 		quantile(t.plain, 50), quantile(t.plain, 99), quantile(t.own, 50), quantile(t.own, 99))
 	return table.Print(out)
 }
@@ -118,7 +118,7 @@
 		w.conns = append(w.conns, conn)
 	}
 	for range reads {
-		if w.rnd.Float64() >= justWrote {
+		if w.rnd.Float64() >= ownWriteShare {
 			w.plainRead()
 			continue
 		}
@@ -147,8 +147,8 @@
 	_ = h.RecordValue(min(took.Microseconds(), h.HighestTrackableValue()))
 }
 
-// ownRead writes through one daemon, roams to another with the session's token
-// and reads what it wrote.
+// ownRead writes a row through one daemon, reconnects to another daemon with the session's token
+// and reads the row.
 func (w *worker) ownRead() error {
 	w.wrote++
 	id := fmt.Sprintf("live-%d-%d-%d-%d", w.c.Seed, time.Now().UnixNano(), w.id, w.wrote)
@@ -159,7 +159,7 @@
 	}
 	token := w.conns[from].ParameterStatus(tokenParameter)
 	time.Sleep(time.Duration(w.rnd.ExpFloat64() * float64(thinkTime)))
-	conn, err := w.roam((from+1)%len(w.conns), token)
+	conn, err := w.reconnect((from+1)%len(w.conns), token)
 	if err != nil {
 		return err
 	}
@@ -167,20 +167,20 @@
 	start := time.Now()
 	results, err := conn.Exec(context.Background(), fmt.Sprintf("/*endivemoor kind=balance*/ SELECT id FROM passes WHERE id = '%s'", id)).ReadAll()
 	w.t.add(w.t.own, time.Since(start), err)
-	w.t.judge(err == nil && len(results) == 1 && len(results[0].Rows) == 1, err)
+	w.t.recordOwnRead(err == nil && len(results) == 1 && len(results[0].Rows) == 1, err)
 	return nil
 }
 
-func (t *tally) judge(found bool, err error) {
+func (t *tally) recordOwnRead(found bool, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.owned++
+	t.ownReads++
 	if err == nil && !found {
-		t.unread++
+		t.ownWritesMissed++
 	}
 }
 
-func (w *worker) roam(to int, token string) (*pgconn.PgConn, error) {
+func (w *worker) reconnect(to int, token string) (*pgconn.PgConn, error) {
 	cfg, err := pgconn.ParseConfig(w.c.URLs[to])
 	if err != nil {
 		return nil, errors.Wrap(err, "connection string")
@@ -190,7 +190,7 @@
 	return conn, errors.Wrap(err, "roam")
 }
 
-// served sums the reads by who served them over all daemons.
+// served returns the number of reads by the role of the server that served them, over all daemons.
 func (c Config) served() (map[string]float64, error) {
 	sum := make(map[string]float64)
 	for _, page := range c.Metrics {
