--- a/internal/experiment/load/load_test.go
+++ b/internal/experiment/load/load_test.go
@@ -17,9 +17,9 @@
 	require.Equal(t, a.Classes[0].served, b.Classes[0].served)
 }
 
-// The target freezes, fails at once, and is well again, while callers come
-// back again and again. Work for callers that have gone must not keep it busy:
-// the worth served is back within 5 s and attempts stay under 1.1.
+// Failure guarded against: the target freezes, then fails each statement at once, then recovers,
+// while callers retry; work for callers that have already given up keeps the target busy after its
+// recovery. The worth served must recover within 5 s, with less than 1.1 attempts per request.
 func TestOutageEndsWithoutARetryStorm(t *testing.T) {
 	shape := Shapes()[2]
 	got := RunSeeds(shape, Setup{Policy: admission.DelayRatio{}}, 3, 2)
@@ -28,5 +28,5 @@
 
 	unbounded := RunSeeds(shape, Setup{Policy: admission.DelayRatio{}, NoBudget: true}, 3, 2)
 	require.Greater(t, float64(unbounded.Attempts), 1.1*float64(unbounded.Requests),
-		"without the budget the storm shows")
+		"the run without a retry budget shows no retry storm")
 }
--- a/internal/experiment/load/policies.go
+++ b/internal/experiment/load/policies.go
@@ -7,9 +7,7 @@
 	"endivemoor.example/endivemoor/clock"
 )
 
-// The policies that the product's was weighed against.
-
-// Policies returns all that are compared.
+// Policies returns the compared policies, the product's last.
 func Policies() []admission.Policy {
 	return []admission.Policy{
 		fifo{}, strictPriority{}, queueRatio{}, earliestDeadline{},
@@ -17,22 +15,22 @@
 	}
 }
 
-// fifo takes the request that came first, of whatever kind.
+// fifo selects the request that arrived first, whatever its kind.
 type fifo struct{}
 
 func (fifo) Name() string { return "fifo" }
 
 func (fifo) Score(l *admission.Lane, now clock.Time) float64 { return float64(l.Wait(now)) }
 
-// strictPriority takes the kind of the highest worth.
+// strictPriority selects the kind with the highest worth.
 type strictPriority struct{}
 
 func (strictPriority) Name() string { return "strict-priority" }
 
 func (strictPriority) Score(l *admission.Lane, _ clock.Time) float64 { return l.Kind.Worth }
 
-// queueRatio keeps the lengths of the queues at fixed ratios, the inverse of
-// the worths (FQR).
+// queueRatio keeps the queue lengths of the kinds at fixed ratios, the inverse of their worths
+// (fixed queue ratio, FQR).
 type queueRatio struct{}
 
 func (queueRatio) Name() string { return "queue-ratio" }
@@ -41,7 +39,7 @@
 	return float64(l.Len) * l.Kind.Worth
 }
 
-// earliestDeadline takes the request whose deadline is nearest.
+// earliestDeadline selects the request with the earliest deadline.
 type earliestDeadline struct{}
 
 func (earliestDeadline) Name() string { return "earliest-deadline" }
--- a/internal/experiment/load/run.go
+++ b/internal/experiment/load/run.go
@@ -18,7 +18,7 @@
 	return w.tally
 }
 
-// RunSeeds runs seeds 1 to n, a few at once, and adds the tallies up.
+// RunSeeds runs seeds 1 to n, up to parallel at once, and adds up their tallies.
 func RunSeeds(shape Shape, setup Setup, n, parallel int) *Tally {
 	all := make([]*Tally, n)
 	var group errgroup.Group
@@ -39,8 +39,7 @@
 	return sum
 }
 
-// Compare prints the tables and saves the plot of the worth served over the
-// spikes.
+// Compare prints the tables, and saves the plot of the worth served during the spikes.
 func Compare(out io.Writer, plotPath string, seeds, parallel int) error {
 	drawing := report.Plot{Title: "Worth served in time through the spikes", X: "second", Y: "worth a second"}
 	for _, shape := range Shapes() {
@@ -71,7 +70,7 @@
 	return s
 }
 
-// ablations takes one part away at a time from the product's policy.
+// ablations compares the product's admission control with variants that each lack one part of it.
 func ablations(out io.Writer, seeds, parallel int) error {
 	setups := []struct {
 		name  string
--- a/internal/experiment/load/tally.go
+++ b/internal/experiment/load/tally.go
@@ -7,29 +7,29 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// windows are the seconds of the run.
+// windows is the number of one-second windows of the run.
 const windows = int(duration / time.Second)
 
-// perClass counts one class.
-type perClass struct {
+// classTally accumulates the results of one class.
+type classTally struct {
 	Offered, Served int
 	Latency         *hdrhistogram.Histogram
 	offered, served [windows]int
 }
 
-// Tally is what a run, or several, showed.
+// Tally accumulates the results of one or more runs.
 type Tally struct {
-	Classes []perClass
-	// Requests are those that callers brought during the outage, again ones
-	// included; Attempts those sent to the target meanwhile.
+	Classes []classTally
+	// Requests is the number of requests that callers made during the outage, including their
+	// retries, and Attempts the number of statements sent to the target during it.
 	Requests, Attempts int
-	// GivenUp got their final answer without being served in time.
+	// Failed is the number of submissions that were not served in time.
 	GivenUp int
 	runs    int
 }
 
 func newTally() *Tally {
-	t := &Tally{Classes: make([]perClass, len(classes)), runs: 1}
+	t := &Tally{Classes: make([]classTally, len(classes)), runs: 1}
 	for i := range t.Classes {
 		t.Classes[i].Latency = newHistogram()
 	}
@@ -81,7 +81,7 @@
 	}
 }
 
-// Worth is the share of the offered worth that was served in time.
+// Worth returns the share of the offered worth that was served in time.
 func (t *Tally) Worth() float64 {
 	var served, offered float64
 	for c := range t.Classes {
@@ -91,18 +91,18 @@
 	return served / offered
 }
 
-// Share is the part of a class's requests that were served in time.
+// Share returns the share of a class's requests that were served in time.
 func (t *Tally) Share(c int) float64 {
 	return float64(t.Classes[c].Served) / float64(max(t.Classes[c].Offered, 1))
 }
 
-// P99 is the class's 99th percentile of the time to an answer in time.
+// P99 returns the 99th percentile of the latency of the class's requests that were served in time.
 func (t *Tally) P99(c int) time.Duration {
 	return time.Duration(t.Classes[c].Latency.ValueAtQuantile(99)) * time.Microsecond
 }
 
-// Worst is the lowest share of any class's requests served in time within one
-// second of the run, over all seeds: near zero means that it starved.
+// Worst returns the lowest share of a class's requests served in time within one second of the run,
+// over all seeds, and the class. A share near zero means that the class starved.
 func (t *Tally) Worst() (share float64, class int) {
 	share = math.Inf(1)
 	for c := range t.Classes {
@@ -119,8 +119,7 @@
 	return share, class
 }
 
-// worthAt is the worth served in a second of the run, for each second of one
-// run.
+// worthAt returns the mean worth served in the i-th second of a run.
 func (t *Tally) worthAt(i int) float64 {
 	var sum float64
 	for c := range t.Classes {
@@ -130,28 +129,29 @@
 }
 
 const (
-	// quietFrom and quietTo are the seconds that recovery is judged against.
-	quietFrom = 10
-	quietTo   = 40
-	recovered = 0.95
-	// steady is how many seconds in a row must be back.
-	steady = 3
+	// baselineFrom and baselineTo delimit the seconds before the outage whose worth recovery is
+	// compared with.
+	baselineFrom   = 10
+	baselineTo     = 40
+	recoveredShare = 0.95
+	// recoverySeconds is how many consecutive seconds must reach recoveredShare.
+	recoverySeconds = 3
 )
 
-// Recovery is how long after the end of the outage the worth served is back to
-// 95% of that before it, and stays there for three seconds.
+// Recovery returns the time from the end of the outage until the worth served reaches 95% of that
+// before the outage and stays there for three seconds. It returns duration if it never does.
 func (t *Tally) Recovery() time.Duration {
 	var before float64
-	for i := quietFrom; i < quietTo; i++ {
-		before += t.worthAt(i) / (quietTo - quietFrom)
+	for i := baselineFrom; i < baselineTo; i++ {
+		before += t.worthAt(i) / (baselineTo - baselineFrom)
 	}
 	from := int(outageTo / time.Second)
-	for i := from; i+steady <= windows-1; i++ {
-		good := true
-		for k := range steady {
-			good = good && t.worthAt(i+k) >= recovered*before
+	for i := from; i+recoverySeconds <= windows-1; i++ {
+		reached := true
+		for k := range recoverySeconds {
+			reached = reached && t.worthAt(i+k) >= recoveredShare*before
 		}
-		if good {
+		if reached {
 			return time.Duration(i-from) * time.Second
 		}
 	}
--- a/internal/experiment/load/world.go
+++ b/internal/experiment/load/world.go
@@ -15,28 +15,29 @@
 )
 
 const (
-	// comesBack is the chance that a caller asks again after a refusal or a
-	// failure, and maxAsks how often it asks in all.
-	comesBack = 0.8
-	maxAsks   = 4
-	maxTries  = 3
-	maxQueued = 256
+	// retryProbability is the probability that a caller submits a request again after a refusal or
+	// a failure, and maxSubmissions the maximum number of submissions.
+	retryProbability = 0.8
+	maxSubmissions   = 4
+	maxTries         = 3
+	maxQueued        = 256
 )
 
-// Setup is what a run is made of.
+// Setup is the configuration of a run.
 type Setup struct {
 	Policy admission.Policy
 	Seed   uint64
-	// KeepHopeless does not refuse early: requests wait until their deadline.
+	// KeepHopeless disables early refusals: requests wait until their deadline.
 	KeepHopeless bool
-	// NoBudget lets the proxy try every idempotent request maxTries times.
+	// NoBudget disables the retry budget: the proxy tries every idempotent request up to maxTries
+	// times.
 	NoBudget bool
-	// FixedSlots does not adapt the slots to the latency, and ShareOnly keeps
-	// them at this proxy's share.
+	// FixedSlots disables the adaptation of the slots to the latency. ShareOnly also fixes them at
+	// this proxy's share.
 	FixedSlots, ShareOnly bool
 }
 
-// world is one run.
+// world is the state of one run.
 type world struct {
 	setup   Setup
 	shape   Shape
@@ -49,21 +50,21 @@
 	tally   *Tally
 }
 
-// proxy is one VM's queue for the target.
+// proxy is one VM's admission queue for the target.
 type proxy struct {
 	queue   *admission.Queue
 	waiting map[admission.Ticket]*request
 }
 
-// request is one caller's wish: it may be asked several times.
+// request is one caller's request, which the caller may submit several times.
 type request struct {
-	class int
-	proxy *proxy
-	asks  int
-	tries int
-	asked clock.Time
-	began clock.Time
-	ended bool
+	class       int
+	proxy       *proxy
+	submissions int
+	tries       int
+	submittedAt clock.Time
+	startedAt   clock.Time
+	finished    bool
 }
 
 func newWorld(shape Shape, setup Setup) *world {
@@ -95,46 +96,46 @@
 	return &proxy{queue: q, waiting: make(map[admission.Ticket]*request)}
 }
 
-// pick chooses the proxy that the balancer gives a request to.
-func (w *world) pick() *proxy {
+// pickProxy returns the proxy to which the load balancer sends a request.
+func (w *world) pickProxy() *proxy {
 	if w.rnd.Float64() < w.shape.skew {
 		return w.proxies[0]
 	}
 	return w.proxies[w.rnd.IntN(len(w.proxies))]
 }
 
-// at is how far the run is.
-func (w *world) at() time.Duration { return w.s.Now().Sub(sim.Start) }
+// elapsed returns the time since the start of the run.
+func (w *world) elapsed() time.Duration { return w.s.Now().Sub(sim.Start) }
 
 func (w *world) start() {
 	for c := range classes {
-		w.arrive(c)
+		w.scheduleArrival(c)
 	}
 	w.s.Every(time.Millisecond, w.expireAll)
 }
 
-// arrive makes the class's next request, thinning a Poisson process of the
-// highest rate down to the shape's.
-func (w *world) arrive(c int) {
-	const highest = 1.5 // shares of the slots, above every shape's
+// scheduleArrival schedules the next request of class c and all later ones, by thinning a Poisson
+// process of the highest rate to the rate of the shape.
+func (w *world) scheduleArrival(c int) {
+	const highest = 1.5 // load relative to the slots; above every class's load in every shape
 	rate := highest * slots / classes[c].service.Seconds()
 	w.s.After(time.Duration(w.rnd.ExpFloat64()/rate*float64(time.Second)), func() {
-		if w.rnd.Float64()*highest < w.shape.load(c, w.at()) {
-			w.tally.offered(c, w.at())
-			w.ask(&request{class: c, proxy: w.pick()})
+		if w.rnd.Float64()*highest < w.shape.load(c, w.elapsed()) {
+			w.tally.offered(c, w.elapsed())
+			w.submit(&request{class: c, proxy: w.pickProxy()})
 		}
-		w.arrive(c)
+		w.scheduleArrival(c)
 	})
 }
 
-func (r *request) deadline() clock.Time { return r.asked.Add(classes[r.class].kind.Deadline) }
+func (r *request) deadline() clock.Time { return r.submittedAt.Add(classes[r.class].kind.Deadline) }
 
-// ask brings the request to the proxy.
-func (w *world) ask(r *request) {
-	r.asks++
-	r.asked, r.ended, r.tries = w.s.Now(), false, 0
+// submit sends the request to its proxy.
+func (w *world) submit(r *request) {
+	r.submissions++
+	r.submittedAt, r.finished, r.tries = w.s.Now(), false, 0
 	w.budget.Request(w.s.Now())
-	w.tally.request(w.at())
+	w.tally.request(w.elapsed())
 	w.offer(r)
 }
 
@@ -146,22 +147,22 @@
 	p := r.proxy
 	o := p.queue.Offer(w.s.Now(), classes[r.class].kind, deadline)
 	if o.Evicted.Cause != admission.CauseNone {
-		w.refused(p, o.Evicted)
+		w.handleRefusal(p, o.Evicted)
 	}
 	switch {
 	case o.Granted:
 		w.run(r)
 	case o.Refused.Cause != admission.CauseNone:
-		w.giveUp(r, o.Refused.RetryAfter)
+		w.fail(r, o.Refused.RetryAfter)
 	default:
 		p.waiting[o.Ticket] = r
 	}
 }
 
-func (w *world) refused(p *proxy, x admission.Refusal) {
+func (w *world) handleRefusal(p *proxy, x admission.Refusal) {
 	r := p.waiting[x.Ticket]
 	delete(p.waiting, x.Ticket)
-	w.giveUp(r, x.RetryAfter)
+	w.fail(r, x.RetryAfter)
 }
 
 func (w *world) expireAll() {
@@ -170,10 +171,10 @@
 	}
 }
 
-// expire ends what is past its deadline, as the limiter's timers do.
+// expire fails the waiting requests whose deadline has passed, as the limiter's timers do.
 func (w *world) expire(p *proxy) {
 	for _, x := range p.queue.Expire(w.s.Now(), nil) {
-		w.refused(p, x)
+		w.handleRefusal(p, x)
 	}
 	if !w.setup.KeepHopeless {
 		return
@@ -182,38 +183,39 @@
 		r := p.waiting[t]
 		if r.deadline() <= w.s.Now() && p.queue.Cancel(t) {
 			delete(p.waiting, t)
-			w.giveUp(r, 0)
+			w.fail(r, 0)
 		}
 	}
 }
 
-// giveUp is the final answer; the caller may ask again when told to.
-func (w *world) giveUp(r *request, after time.Duration) {
-	if r.ended {
+// fail gives the final reply of a submission. During an outage, the caller may submit the request
+// again after the retry-after time.
+func (w *world) fail(r *request, after time.Duration) {
+	if r.finished {
 		return
 	}
-	r.ended = true
+	r.finished = true
 	w.tally.GivenUp++
-	if !w.shape.outage || r.asks >= maxAsks || w.rnd.Float64() >= comesBack {
+	if !w.shape.outage || r.submissions >= maxSubmissions || w.rnd.Float64() >= retryProbability {
 		return
 	}
-	w.s.After(after, func() { w.ask(r) })
+	w.s.After(after, func() { w.submit(r) })
 }
 
-// run sends the request to the target, which gives it up at its deadline.
+// run sends the request to the target, which abandons it at its deadline.
 func (w *world) run(r *request) {
-	w.tally.attempt(w.at())
+	w.tally.attempt(w.elapsed())
 	r.tries++
-	r.began = w.s.Now()
-	left := max(r.deadline().Sub(r.began), time.Millisecond)
-	w.target.do(classes[r.class].service, left, func(ok bool) { w.release(r, ok) })
+	r.startedAt = w.s.Now()
+	left := max(r.deadline().Sub(r.startedAt), time.Millisecond)
+	w.target.execute(classes[r.class].service, left, func(ok bool) { w.release(r, ok) })
 }
 
-// release returns the slot and grants it on.
+// release returns the slot to the queue, and runs the waiting requests to which it is granted.
 func (w *world) release(r *request, ok bool) {
 	now, p := w.s.Now(), r.proxy
 	w.expire(p)
-	granted := p.queue.Done(now, classes[r.class].kind, now.Sub(r.began), nil)
+	granted := p.queue.Done(now, classes[r.class].kind, now.Sub(r.startedAt), nil)
 	w.finish(r, ok)
 	for _, t := range granted {
 		next := p.waiting[t]
@@ -225,15 +227,15 @@
 func (w *world) finish(r *request, ok bool) {
 	now := w.s.Now()
 	if ok && !now.After(r.deadline()) {
-		r.ended = true
-		w.tally.served(r.class, w.at(), now.Sub(r.asked))
+		r.finished = true
+		w.tally.served(r.class, w.elapsed(), now.Sub(r.submittedAt))
 		return
 	}
 	if !ok && w.mayRetry(r) {
 		w.s.After(w.backoff.Delay(r.tries, w.rnd), func() { w.offer(r) })
 		return
 	}
-	w.giveUp(r, r.proxy.queue.RetryAfter())
+	w.fail(r, r.proxy.queue.RetryAfter())
 }
 
 func (w *world) mayRetry(r *request) bool {
