--- a/internal/experiment/reads/attempt.go
+++ b/internal/experiment/reads/attempt.go
@@ -10,7 +10,7 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// attempt is one read on its way.
+// attempt is one read in progress.
 type attempt struct {
 	w     *world
 	p     *proxy
@@ -41,42 +41,42 @@
 	a.send(d.Server, now)
 }
 
-// send runs the read at the server. A proxy blames a server that does not
-// answer within the deadline.
+// send runs the read on the server. The proxy records a failure of the server if it does not answer
+// within the deadline.
 func (a *attempt) send(srv *view.Server, routed clock.Time) {
-	w, hop, answered := a.w, a.w.hop(a.p, srv), false
+	w, delay, answered := a.w, a.w.networkDelay(a.p, srv), false
 	isReplica := srv.ID != a.p.group.Primary
-	stale := w.log.age(w.place(srv.ID).LSN, routed) > browse.MaxAge
-	a.p.board.Begin(srv.ID, routed)
+	stale := w.log.age(w.position(srv.ID).LSN, routed) > browse.MaxAge
+	a.p.tracker.Begin(srv.ID, routed)
 	finish := func(ok bool) {
 		if answered {
 			return
 		}
 		answered = true
-		a.p.board.End(srv.ID, w.s.Now(), w.s.Now().Sub(routed), !ok)
+		a.p.tracker.End(srv.ID, w.s.Now(), w.s.Now().Sub(routed), !ok)
 		a.end(ok, isReplica)
 	}
 	w.s.After(browse.Deadline, func() { finish(false) })
-	if !w.reaches(a.p, srv.ID) {
+	if !w.canReach(a.p, srv.ID) {
 		return
 	}
-	w.s.After(hop, func() {
-		check := func() { a.judge(srv.ID, stale) }
-		w.servers[srv.ID].do(readTime, check, func(ok bool) {
-			w.s.After(hop, func() { finish(ok) })
+	w.s.After(delay, func() {
+		check := func() { a.check(srv.ID, stale) }
+		w.servers[srv.ID].execute(readTime, check, func(ok bool) {
+			w.s.After(delay, func() { finish(ok) })
 		})
 	})
 }
 
-// judge looks at the server's own state when the read runs.
-func (a *attempt) judge(id target.ID, stale bool) {
+// check records the violations of a read, given the server's true state when the read runs.
+func (a *attempt) check(id target.ID, stale bool) {
 	if !a.w.recording {
 		return
 	}
 	if stale {
 		a.w.tally.Stale++
 	}
-	if a.w.place(id).LSN < a.floor.LSN {
+	if a.w.position(id).LSN < a.floor.LSN {
 		a.w.tally.Unread++
 	}
 }
--- a/internal/experiment/reads/reads_test.go
+++ b/internal/experiment/reads/reads_test.go
@@ -10,9 +10,9 @@
 	"endivemoor.example/endivemoor/routing"
 )
 
-// The judges must be able to go red: with a guard taken out they find what it
-// let through, and with all in they find nothing.
-func TestJudgesFindWhatAGuardTakenOutLetsThrough(t *testing.T) {
+// Failure guarded against: a checker that never reports a violation. With one guard of routing
+// disabled, the checker must find the reads that the guard prevents; with all enabled, none.
+func TestCheckersFindReadsThatADisabledGuardPermits(t *testing.T) {
 	run := func(sc Scenario, out ...guard.Name) Tally {
 		return Run(sc, Setup{Policy: routing.Evidence{}, Lag: Typical, Seed: 1, Guards: guard.Without(out...)})
 	}
@@ -35,10 +35,10 @@
 	require.Equal(t, a.ReadLatency.Export(), b.ReadLatency.Export())
 }
 
-// The users' aim: 97% of the reads that replicas may serve, at a usual lag of
-// 200 ms with one session in twenty having just written.
+// Replicas must serve 97% of the reads that they may serve, which is the users' objective, at a
+// usual lag of 200 ms, with one read in twenty by a session that has just written.
 func TestReplicasServeTheAimedShare(t *testing.T) {
-	calm := Run(Scenarios()[0], Setup{Policy: routing.Evidence{}, Lag: 200 * time.Millisecond, Seed: 1})
-	require.Greater(t, calm.Share(), 0.97)
-	require.Zero(t, calm.Failed)
+	got := Run(Scenarios()[0], Setup{Policy: routing.Evidence{}, Lag: 200 * time.Millisecond, Seed: 1})
+	require.Greater(t, got.Share(), 0.97)
+	require.Zero(t, got.Failed)
 }
--- a/internal/experiment/reads/run.go
+++ b/internal/experiment/reads/run.go
@@ -14,16 +14,16 @@
 	"endivemoor.example/endivemoor/target"
 )
 
-// Scenario changes a world while it runs.
+// Scenario is a change of a world while it runs, such as a fault, and the reversal of the change.
 type Scenario struct {
 	Name string
-	// set is called faultAt into the measured time, reset faultLasts later.
+	// set is called when faultAt of the measured time has passed, reset faultDuration later.
 	set, reset func(w *world)
 }
 
 const (
-	faultAt    = 15 * time.Second
-	faultLasts = 25 * time.Second
+	faultAt       = 15 * time.Second
+	faultDuration = 25 * time.Second
 )
 
 func inject(id string, f fault) Scenario {
@@ -38,7 +38,7 @@
 	move := func(to time.Duration) func(w *world) {
 		return func(w *world) {
 			for _, id := range servers {
-				r := w.replays[target.ID(id)]
+				r := w.replications[target.ID(id)]
 				r.mean, r.lag = to, to
 			}
 		}
@@ -51,16 +51,16 @@
 	return s
 }
 
-// Scenarios returns the situations that are compared.
+// Scenarios returns the scenarios under which the policies are compared.
 func Scenarios() []Scenario {
 	return []Scenario{
 		{Name: "calm", set: func(*world) {}, reset: func(*world) {}},
 		lagging(3*time.Second, "b").named("one replica 3 s behind"),
 		lagging(12*time.Second, "b", "c").named("both replicas 12 s behind"),
 		inject("b", faultSlow).named("replica slow"),
-		inject("b", faultSilent).named("replica silent"),
+		inject("b", faultUnresponsive).named("replica silent"),
 		inject("b", faultFailing).named("replica failing fast"),
-		{Name: "a zone cut off with the old primary", set: (*world).cutOff, reset: (*world).heal},
+		{Name: "a zone cut off with the old primary", set: (*world).isolatePrimary, reset: (*world).heal},
 	}
 }
 
@@ -73,14 +73,14 @@
 	primary := w.servers[w.group.Primary]
 	busy := primary.busy
 	w.s.After(faultAt, func() { sc.set(w) })
-	w.s.After(faultAt+faultLasts, func() { sc.reset(w) })
-	w.s.Run(measured)
+	w.s.After(faultAt+faultDuration, func() { sc.reset(w) })
+	w.s.Run(measuredFor)
 	used := primary.busy - busy
-	w.tally.PrimaryBusy = float64(used) / float64(slots*measured)
+	w.tally.PrimaryBusy = float64(used) / float64(slots*measuredFor)
 	return w.tally
 }
 
-// RunSeeds runs seeds 1 to n, a few at once, and adds the tallies up.
+// RunSeeds runs seeds 1 to n, up to parallel at once, and adds up their tallies.
 func RunSeeds(sc Scenario, setup Setup, n, parallel int) Tally {
 	all := make([]Tally, n)
 	var group errgroup.Group
@@ -114,14 +114,14 @@
 	t.PrimaryBusy += o.PrimaryBusy / float64(n)
 }
 
-// Share is the part of all reads that replicas served.
+// Share returns the share of all reads that replicas served.
 func (t *Tally) Share() float64 { return float64(t.ByReplica) / float64(max(t.Reads, 1)) }
 
 func quantile(h *hdrhistogram.Histogram, q float64) time.Duration {
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Compare prints a table for each scenario whose name holds only.
+// Compare prints a table for each scenario whose name contains only.
 func Compare(out io.Writer, only string, seeds, parallel int) error {
 	for _, sc := range Scenarios() {
 		if !strings.Contains(sc.Name, only) {
@@ -148,18 +148,18 @@
 
 func (t *Tally) failedShare() float64 { return float64(t.Failed) / float64(max(t.Reads, 1)) }
 
-// lags are the usual lags of the sweep.
+// lags are the usual replica lags of the sweep.
 var lags = []time.Duration{
 	25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond,
 	200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond,
 }
 
-// waitShares are the settings of the product's policy in the sweep: never
-// wait, and up to an eighth, a sixth and a quarter of the deadline.
+// waitShares are the values of Evidence.WaitShare in the sweep: no wait, and a wait of up to an
+// eighth, a sixth and a quarter of the deadline.
 var waitShares = []int{-1, 8, 6, 4}
 
-// Sweep prints the share of reads by replicas and the latency over the usual
-// lag, for several bounds of the wait, and saves a plot of the share.
+// Sweep prints the share of reads that replicas served and the latency by the usual lag, for
+// several bounds of the wait, and saves a plot of the share.
 func Sweep(out io.Writer, plotPath string, seeds, parallel int) error {
 	table := report.Table{
 		Title:  "Reads: usual lag against the bound of the wait",
--- a/internal/experiment/reads/server.go
+++ b/internal/experiment/reads/server.go
@@ -15,18 +15,17 @@
 	failingTime = 200 * time.Microsecond
 )
 
-// fault is what is wrong with a server for a time.
+// fault is the kind of an injected fault of a server.
 type fault uint8
 
 const (
-	faultNone    fault = iota
-	faultSlow          // a tenth of the speed
-	faultSilent        // takes requests and answers none
-	faultFailing       // refuses at once
+	faultNone         fault = iota
+	faultSlow               // runs at a tenth of its speed
+	faultUnresponsive       // accepts requests but does not reply
+	faultFailing            // fails each request at once
 )
 
-// server is a fake of one database server: slots, a queue in order of arrival
-// and a fault.
+// server is a fake database server with slots, a queue in order of arrival, and a fault.
 type server struct {
 	s       *sim.Scheduler
 	rnd     *rand.Rand
@@ -36,11 +35,11 @@
 	busy    time.Duration
 }
 
-// do runs a statement of the given mean time; done is told if it was answered
-// well, and is never called by a silent server.
-func (s *server) do(mean time.Duration, at func(), done func(ok bool)) {
+// execute runs a statement of the given mean time, and calls at when the statement starts. It calls
+// done with the statement's success; an unresponsive server never calls done.
+func (s *server) execute(mean time.Duration, at func(), done func(ok bool)) {
 	switch s.fault {
-	case faultSilent:
+	case faultUnresponsive:
 		return
 	case faultFailing:
 		s.s.After(failingTime, func() { done(false) })
@@ -56,13 +55,13 @@
 		s.s.After(took, func() {
 			s.running--
 			done(true)
-			s.next()
+			s.dispatch()
 		})
 	})
-	s.next()
+	s.dispatch()
 }
 
-func (s *server) next() {
+func (s *server) dispatch() {
 	for s.running < slots && len(s.queue) > 0 {
 		f := s.queue[0]
 		s.queue = s.queue[1:]
@@ -71,7 +70,7 @@
 	}
 }
 
-// log is the primary's log: the instant of each commit, by LSN.
+// log is the primary's log: the time of each commit, indexed by LSN.
 type log struct {
 	commits []clock.Time
 }
@@ -81,13 +80,12 @@
 	return timeline.LSN(len(l.commits))
 }
 
-// at returns the position that the log had at an instant.
-func (l *log) at(t clock.Time) timeline.LSN {
+// positionAt returns the position of the log at time t.
+func (l *log) positionAt(t clock.Time) timeline.LSN {
 	return timeline.LSN(sort.Search(len(l.commits), func(i int) bool { return l.commits[i].After(t) }))
 }
 
-// age returns how old data at lsn is at now: the time since the first commit
-// that it lacks.
+// age returns the age at now of data at lsn: the time since the first commit that it lacks.
 func (l *log) age(lsn timeline.LSN, now clock.Time) time.Duration {
 	if int(lsn) >= len(l.commits) {
 		return 0
@@ -97,12 +95,13 @@
 
 const (
 	lagStep = 20 * time.Millisecond
-	// lagPull draws the lag back to its mean, lagNoise moves it.
+	// lagPull is the share of its distance from the mean that the lag loses in each step, and
+	// lagNoise the standard deviation of the random change in each step, relative to the mean.
 	lagPull  = 0.05
 	lagNoise = 0.08
 )
 
-// replication is one replica's progress through the log.
+// replication is one replica's progress in the log.
 type replication struct {
 	log     *log
 	rnd     *rand.Rand
@@ -115,5 +114,5 @@
 	pull := lagPull * float64(r.mean-r.lag)
 	noise := lagNoise * float64(r.mean) * r.rnd.NormFloat64()
 	r.lag = max(r.lag+time.Duration(pull+noise), time.Millisecond)
-	r.applied = max(r.applied, r.log.at(now.Add(-r.lag)))
+	r.applied = max(r.applied, r.log.positionAt(now.Add(-r.lag)))
 }
--- a/internal/experiment/reads/world.go
+++ b/internal/experiment/reads/world.go
@@ -17,30 +17,29 @@
 
 const (
 	proxies   = 8
-	readRate  = 1500.0 // a second, over all proxies
+	readRate  = 1500.0 // per second, over all proxies
 	writeRate = 200.0
 	readTime  = 1500 * time.Microsecond
 	writeTime = 3 * time.Millisecond
-	// justWrote is the share of reads by a session that wrote thinkTime ago.
-	justWrote = 0.05
-	thinkTime = 50 * time.Millisecond
-	pollEvery = 100 * time.Millisecond
-	nearby    = 250 * time.Microsecond
-	remote    = 1500 * time.Microsecond
-	warmUp    = 5 * time.Second
-	measured  = 60 * time.Second
+	// ownWriteShare is the share of reads by a session that wrote thinkTime ago.
+	ownWriteShare  = 0.05
+	thinkTime      = 50 * time.Millisecond
+	pollInterval   = 100 * time.Millisecond
+	sameZoneDelay  = 250 * time.Microsecond
+	crossZoneDelay = 1500 * time.Microsecond
+	warmUp         = 5 * time.Second
+	measuredFor    = 60 * time.Second
 	// Typical is the replicas' usual lag.
 	Typical = 200 * time.Millisecond
 )
 
-// Setup is what a run is made of.
+// Setup is the configuration of a run.
 type Setup struct {
 	Policy routing.Policy
 	// Lag is the replicas' usual lag.
 	Lag  time.Duration
 	Seed uint64
-	// Guards takes guards of routing out, to see that a judge finds what they
-	// let through.
+	// Guards disables guards of routing, to test that a checker finds the reads that they prevent.
 	Guards guard.Set
 }
 
@@ -53,44 +52,44 @@
 // ids are the servers; the first is the primary.
 var ids = []target.ID{"a", "b", "c"}
 
-// world is one run: a group, its proxies and its callers.
+// world is the state of one run: a group, its proxies and its callers.
 type world struct {
-	s       *sim.Scheduler
-	rnd     *rand.Rand
-	log     *log
-	servers map[target.ID]*server
-	replays map[target.ID]*replication
-	view    *view.View
-	group   *view.Group
-	proxies []*proxy
-	tally   Tally
+	s            *sim.Scheduler
+	rnd          *rand.Rand
+	log          *log
+	servers      map[target.ID]*server
+	replications map[target.ID]*replication
+	view         *view.View
+	group        *view.Group
+	proxies      []*proxy
+	tally        Tally
 	// recording is set after the warm-up.
 	recording bool
 	setup     Setup
-	cut       *cut
+	partition *partition
 }
 
-// proxy is one VM's board and router.
+// proxy is one VM's evidence tracker and router.
 type proxy struct {
 	zone string
-	// group is the group as the proxy knows it.
-	group  *view.Group
-	board  *routing.Board
-	router *routing.Router
+	// group is the proxy's newest state of the group.
+	group   *view.Group
+	tracker *routing.Board
+	router  *routing.Router
 }
 
-// Tally is what a run showed.
+// Tally accumulates the results of one or more runs.
 type Tally struct {
 	Reads, ByReplica, ByPrimary int
-	// Failed reads got an error or no answer within their deadline.
+	// Failed is the number of reads that got an error, or no reply within their deadline.
 	Failed int
-	// Stale reads were older than MaxAge when routed; Unread ones lacked the
-	// session's own write.
+	// Stale is the number of reads whose data was older than MaxAge when they were routed.
+	// OwnWritesMissed is the number of reads that lacked the session's own write.
 	Stale, Unread int
 	Writes        int
 	ReadLatency   *hdrhistogram.Histogram
 	WriteLatency  *hdrhistogram.Histogram
-	// PrimaryBusy is the share of the primary's slots in use.
+	// PrimaryBusy is the mean share of the primary's slots in use.
 	PrimaryBusy float64
 }
 
@@ -102,9 +101,9 @@
 	rnd := rand.New(rand.NewPCG(setup.Seed, 1))
 	w := &world{
 		s: sim.New(), rnd: rnd, log: &log{},
-		servers: map[target.ID]*server{},
-		replays: map[target.ID]*replication{},
-		setup:   setup,
+		servers:      map[target.ID]*server{},
+		replications: map[target.ID]*replication{},
+		setup:        setup,
 	}
 	w.tally.ReadLatency, w.tally.WriteLatency = newHistogram(), newHistogram()
 	w.group = &view.Group{Name: "g", Term: 1, Primary: "a", History: timeline.History{{Term: 1}}}
@@ -112,7 +111,7 @@
 		w.servers[id] = &server{s: w.s, rnd: rnd}
 		w.group.Servers = append(w.group.Servers, view.Server{ID: id, Zone: zone(i)})
 		if i > 0 {
-			w.replays[id] = w.replica()
+			w.replications[id] = w.newReplication()
 		}
 	}
 	w.view = &view.View{}
@@ -120,45 +119,45 @@
 		b := routing.NewBoard()
 		b.Guards = setup.Guards
 		w.proxies = append(w.proxies, &proxy{
-			zone: zone(i), board: b, group: w.group,
+			zone: zone(i), tracker: b, group: w.group,
 			router: routing.NewRouter(b, setup.Policy, setup.Seed+uint64(i)),
 		})
 	}
 	return w
 }
 
-func (w *world) replica() *replication {
+func (w *world) newReplication() *replication {
 	return &replication{log: w.log, rnd: w.rnd, mean: w.setup.Lag, lag: w.setup.Lag}
 }
 
 func zone(i int) string { return string(rune('1' + i%3)) }
 
-// hop is the one-way time between a proxy and a server.
-func (w *world) hop(p *proxy, s *view.Server) time.Duration {
+// networkDelay returns the one-way network delay between a proxy and a server.
+func (w *world) networkDelay(p *proxy, s *view.Server) time.Duration {
 	if p.zone == s.Zone {
-		return nearby
+		return sameZoneDelay
 	}
-	return remote
+	return crossZoneDelay
 }
 
 func (w *world) start() {
 	w.s.Every(lagStep, func() {
 		for _, id := range ids {
-			if r := w.replays[id]; r != nil {
+			if r := w.replications[id]; r != nil {
 				r.step(w.s.Now())
 			}
 		}
 	})
 	for i, p := range w.proxies {
-		w.s.After(time.Duration(i)*pollEvery/proxies, func() {
-			w.s.Every(pollEvery, func() { w.poll(p) })
+		w.s.After(time.Duration(i)*pollInterval/proxies, func() {
+			w.s.Every(pollInterval, func() { w.poll(p) })
 		})
 	}
-	w.arrivals(readRate, func() { w.anyRead() })
+	w.arrivals(readRate, func() { w.startRead() })
 	w.arrivals(writeRate, func() { w.write(w.writer(), func(timeline.Position) {}) })
 }
 
-// arrivals calls f at the instants of a Poisson process.
+// arrivals calls f at the event times of a Poisson process with the given rate per second.
 func (w *world) arrivals(rate float64, f func()) {
 	w.s.After(time.Duration(w.rnd.ExpFloat64()/rate*float64(time.Second)), func() {
 		f()
@@ -166,32 +165,32 @@
 	})
 }
 
-func (w *world) anyProxy() *proxy { return w.proxies[w.rnd.IntN(len(w.proxies))] }
+func (w *world) randomProxy() *proxy { return w.proxies[w.rnd.IntN(len(w.proxies))] }
 
-// writer is a proxy that reaches the primary.
+// writer returns a random proxy that can reach the primary.
 func (w *world) writer() *proxy {
 	for {
-		if p := w.anyProxy(); w.reaches(p, w.group.Primary) {
+		if p := w.randomProxy(); w.canReach(p, w.group.Primary) {
 			return p
 		}
 	}
 }
 
-// poll asks each server for its status, as the control connections do.
+// poll sends a status query to each server, as the control connections do.
 func (w *world) poll(p *proxy) {
-	asked := w.s.Now()
+	askedAt := w.s.Now()
 	for i := range w.group.Servers {
 		srv := &w.group.Servers[i]
-		if !w.reaches(p, srv.ID) {
+		if !w.canReach(p, srv.ID) {
 			continue
 		}
-		hop := w.hop(p, srv)
-		w.s.After(hop, func() {
+		delay := w.networkDelay(p, srv)
+		w.s.After(delay, func() {
 			st := w.status(srv.ID)
-			w.s.After(hop, func() {
-				p.board.Observe(srv.ID, st, asked, w.s.Now())
+			w.s.After(delay, func() {
+				p.tracker.Observe(srv.ID, st, askedAt, w.s.Now())
 				if st.Role == target.RolePrimary {
-					p.board.ObservePrimary("g", st.Position(), asked)
+					p.tracker.ObservePrimary("g", st.Position(), askedAt)
 				}
 			})
 		})
@@ -199,43 +198,43 @@
 }
 
 func (w *world) status(id target.ID) target.Status {
-	at := w.place(id)
+	at := w.position(id)
 	st := target.Status{Server: id, Role: target.RoleReplica, Term: at.Term, Promised: at.Term, LSN: at.LSN}
-	if id == w.group.Primary || w.cut.isolates(id) {
+	if id == w.group.Primary || w.partition.isolates(id) {
 		st.Role = target.RolePrimary
 	}
 	return st
 }
 
-// place is the server's true position.
-func (w *world) place(id target.ID) timeline.Position {
+// position returns the server's true position.
+func (w *world) position(id target.ID) timeline.Position {
 	switch {
-	case w.cut.isolates(id):
-		return w.cut.kept
+	case w.partition.isolates(id):
+		return w.partition.oldPosition
 	case id == w.group.Primary:
 		return timeline.Position{Term: w.group.Term, LSN: timeline.LSN(len(w.log.commits))}
 	default:
-		return timeline.Position{Term: w.group.Term, LSN: w.replays[id].applied}
+		return timeline.Position{Term: w.group.Term, LSN: w.replications[id].applied}
 	}
 }
 
-// write runs a write at the primary and tells its position.
+// write runs a write on the primary and passes its position to done.
 func (w *world) write(p *proxy, done func(timeline.Position)) {
-	began := w.s.Now()
-	if w.cut.refusesWrites(began) {
+	start := w.s.Now()
+	if w.partition.refusesWrites(start) {
 		return
 	}
 	primary := w.group.Server(w.group.Primary)
-	hop := w.hop(p, primary)
-	p.board.Begin(primary.ID, began)
-	w.s.After(hop, func() {
-		w.servers[primary.ID].do(writeTime, func() {}, func(bool) {
+	delay := w.networkDelay(p, primary)
+	p.tracker.Begin(primary.ID, start)
+	w.s.After(delay, func() {
+		w.servers[primary.ID].execute(writeTime, func() {}, func(bool) {
 			at := timeline.Position{Term: w.group.Term, LSN: w.log.append(w.s.Now())}
-			w.s.After(hop, func() {
-				p.board.End(primary.ID, w.s.Now(), w.s.Now().Sub(began), false)
+			w.s.After(delay, func() {
+				p.tracker.End(primary.ID, w.s.Now(), w.s.Now().Sub(start), false)
 				if w.recording {
 					w.tally.Writes++
-					w.record(w.tally.WriteLatency, w.s.Now().Sub(began))
+					w.record(w.tally.WriteLatency, w.s.Now().Sub(start))
 				}
 				done(at)
 			})
@@ -247,14 +246,14 @@
 	_ = h.RecordValue(min(d.Microseconds(), h.HighestTrackableValue()))
 }
 
-// anyRead starts a read; one in twenty follows the session's own write.
-func (w *world) anyRead() {
-	if w.rnd.Float64() >= justWrote {
-		w.read(w.anyProxy(), timeline.Position{})
+// startRead starts a read. One read in twenty follows a write of its own session.
+func (w *world) startRead() {
+	if w.rnd.Float64() >= ownWriteShare {
+		w.read(w.randomProxy(), timeline.Position{})
 		return
 	}
 	w.write(w.writer(), func(at timeline.Position) {
 		think := time.Duration(w.rnd.ExpFloat64() * float64(thinkTime))
-		w.s.After(think, func() { w.read(w.anyProxy(), at) })
+		w.s.After(think, func() { w.read(w.randomProxy(), at) })
 	})
 }
