--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -1,4 +1,5 @@
-// Package report prints the tables of the measurements and draws their plots.
+// Package report formats the results of the measurements: a Table is printed as Markdown, a Plot is
+// saved as an image.
 package report
 
 import (
@@ -31,7 +32,7 @@
 	t.Rows = append(t.Rows, row)
 }
 
-// Cell formats a value: durations in milliseconds, shares as they are.
+// Cell formats a value: durations in milliseconds, floats with four significant digits.
 func Cell(c any) string {
 	switch v := c.(type) {
 	case time.Duration:
@@ -43,7 +44,7 @@
 	}
 }
 
-// Percent formats a share.
+// Percent formats a share, such as 0.5, as a percentage.
 func Percent(share float64) string { return fmt.Sprintf("%.2f%%", 100*share) }
 
 // Print writes the table in Markdown with aligned columns.
@@ -85,7 +86,7 @@
 	plotHeight = 9 * vg.Centimeter
 )
 
-// Save writes the plot; the file's extension chooses the format.
+// Save writes the plot to path, whose extension selects the format.
 func (p Plot) Save(path string) error {
 	canvas := plot.New()
 	canvas.Title.Text = p.Title
