--- a/internal/experiment/sim/sim.go
+++ b/internal/experiment/sim/sim.go
@@ -1,6 +1,5 @@
-// Package sim runs events in virtual time for the measurements. It is a queue
-// of functions and nothing more: the servers, callers and faults of an
-// experiment are small fakes in the experiment's own package.
+// Package sim runs events in virtual time for the measurements. A Scheduler is a queue of functions
+// only: each experiment's own package implements the fakes of its servers, callers and faults.
 package sim
 
 import (
@@ -10,8 +9,8 @@
 	"endivemoor.example/endivemoor/clock"
 )
 
-// Start is the first instant: it is not zero, which some of the core takes for
-// "never".
+// Start is the virtual time at which a run starts. It is not zero, because parts of the core read
+// zero as "never".
 const Start = clock.Time(time.Hour)
 
 type event struct {
@@ -43,8 +42,8 @@
 	return last
 }
 
-// Scheduler holds what is to happen. Events of one instant run in the order in
-// which they were added, so that a seed gives one trace.
+// Scheduler runs events in the order of their times. Events with equal times run in the order in
+// which they were added, so that a seed always gives the same trace.
 type Scheduler struct {
 	now   clock.Time
 	seq   uint64
@@ -57,13 +56,13 @@
 // Now returns the virtual time.
 func (s *Scheduler) Now() clock.Time { return s.now }
 
-// After runs f when d has passed.
+// After schedules f to run once d has passed.
 func (s *Scheduler) After(d time.Duration, f func()) {
 	s.seq++
 	heap.Push(&s.queue, event{at: s.now.Add(max(d, 0)), seq: s.seq, run: f})
 }
 
-// Every runs f each period until the run ends.
+// Every schedules f to run every period until the run ends.
 func (s *Scheduler) Every(period time.Duration, f func()) {
 	s.After(period, func() {
 		f()
@@ -71,7 +70,7 @@
 	})
 }
 
-// Run runs what is due within the next d.
+// Run runs the events that are due within the next d and advances the clock by d.
 func (s *Scheduler) Run(d time.Duration) {
 	end := s.now.Add(d)
 	for len(s.queue) > 0 && !s.queue[0].at.After(end) {
