--- a/internal/load/bench.go
+++ b/internal/load/bench.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Bench is the command line of the comparison.
+// Bench is the command that compares a daemon with the server behind it.
 type Bench struct {
 	Direct   string        `help:"connection string straight to the primary" required:""`
 	Proxy    string        `help:"connection string through a daemon" required:""`
@@ -24,7 +24,7 @@
 	writeSQL = "INSERT INTO passes(id, flight, price) VALUES ($1, 'SK101', '12')"
 )
 
-// Run compares and prints a table.
+// Run compares both endpoints for each number of callers and prints a table.
 func (b *Bench) Run(ctx context.Context, out io.Writer) error {
 	endpoints := [2]Endpoint{
 		{Name: "direct", URL: b.Direct},
@@ -43,14 +43,15 @@
 	return nil
 }
 
-// reads look up a row that is not there; both endpoints do the same work.
+// reads returns requests that look up a row that does not exist, so that both endpoints do the same
+// work.
 func (b *Bench) reads() [2]Request {
 	arg := func(caller, _ int) string { return "none-" + strconv.Itoa(caller) }
 	return [2]Request{{SQL: readSQL, Arg: arg}, {SQL: "/*endivemoor kind=" + b.ReadKind + "*/ " + readSQL, Arg: arg}}
 }
 
-// writes insert rows under ids that no other round uses. They carry no request
-// key: the cost of a key is measured apart.
+// writes returns requests that insert rows with ids that no other round uses. They have no request
+// key, whose cost is measured separately.
 func (b *Bench) writes(callers int) [2]Request {
 	run := strconv.FormatInt(time.Now().UnixNano(), 36)
 	id := func(where string) func(int, int) string {
--- a/internal/load/control.go
+++ b/internal/load/control.go
@@ -14,11 +14,11 @@
 	"github.com/pkg/errors"
 )
 
-// What a VM may spend on control, by the size to design for.
+// The limits of a VM's control cost at the planned size of the fleet.
 const (
 	cpuLimit    = 4.2  // % of a core
 	memoryLimit = 64.0 // MB
-	bytesLimit  = 5.0  // KB a second
+	bytesLimit  = 5.0  // KB per second
 )
 
 const (
@@ -27,7 +27,7 @@
 	rssName   = "process_resident_memory_bytes"
 )
 
-// Control is the command line of the measurement of what idle daemons cost.
+// Control is the command that measures the control cost of idle daemons.
 type Control struct {
 	Admins []string      `required:"" help:"admin addresses of all daemons, ip:port"`
 	Groups int           `required:"" help:"number of groups, noted in the result"`
@@ -36,14 +36,14 @@
 	CSV    string        `help:"file that a line of the result is added to"`
 }
 
-// cost is what one daemon spent.
+// cost is the control cost of one daemon. Its units are those of costOf.
 type cost struct {
 	cpu, rss, peers, platform, targets float64
 }
 
 func (c cost) bytes() float64 { return c.peers + c.platform + c.targets }
 
-// Run counts and prints the mean over the daemons, and the greatest.
+// Run measures all daemons, and prints the mean and the maximum of each cost.
 func (c *Control) Run(ctx context.Context, out io.Writer) error {
 	if !wait.For(ctx, c.Settle) {
 		return ctx.Err()
@@ -65,19 +65,20 @@
 		costs[i] = costOf(before[i], after[i], time.Since(begin).Seconds())
 	}
 	mean := func(part func(cost) float64) float64 { return meanOf(costs, part) }
-	most := func(part func(cost) float64) float64 { return part(slices.MaxFunc(costs, byPart(part))) }
+	most := func(part func(cost) float64) float64 { return part(slices.MaxFunc(costs, compareBy(part))) }
 	cpu, rss := func(c cost) float64 { return c.cpu }, func(c cost) float64 { return c.rss }
 	fmt.Fprintf(out, "daemons=%d groups=%d cpu %% mean %.2f max %.2f | MB mean %.1f max %.1f | KB/s mean %.2f max %.2f (peers %.2f platform %.2f targets %.2f)\n",
 		len(costs), c.Groups, mean(cpu), most(cpu), mean(rss), most(rss), mean(cost.bytes), most(cost.bytes),
 		mean(func(c cost) float64 { return c.peers }), mean(func(c cost) float64 { return c.platform }), mean(func(c cost) float64 { return c.targets }))
-	return c.note(mean(cpu), mean(rss), mean(cost.bytes))
+	return c.appendResult(mean(cpu), mean(rss), mean(cost.bytes))
 }
 
-// costOf returns percent of a core, megabytes and kilobytes a second.
+// costOf returns the cost between two scrapes in percent of a core, megabytes, and kilobytes per
+// second.
 func costOf(before, after families, seconds float64) cost {
 	const kilo, mega = 1e3, 1e6
-	was, is := before.by(bytesName, "plane"), after.by(bytesName, "plane")
-	rate := func(plane string) float64 { return (is[plane] - was[plane]) / seconds / kilo }
+	bytesBefore, bytesAfter := before.by(bytesName, "plane"), after.by(bytesName, "plane")
+	rate := func(plane string) float64 { return (bytesAfter[plane] - bytesBefore[plane]) / seconds / kilo }
 	return cost{
 		cpu:      100 * (after.sum(cpuName) - before.sum(cpuName)) / seconds,
 		rss:      after.sum(rssName) / mega,
@@ -95,7 +96,7 @@
 	return mean(values)
 }
 
-func byPart(part func(cost) float64) func(a, b cost) int {
+func compareBy(part func(cost) float64) func(a, b cost) int {
 	return func(a, b cost) int {
 		if part(a) < part(b) {
 			return -1
@@ -104,7 +105,7 @@
 	}
 }
 
-func (c *Control) note(values ...float64) error {
+func (c *Control) appendResult(values ...float64) error {
 	if c.CSV == "" {
 		return nil
 	}
@@ -125,15 +126,15 @@
 	return w.Error()
 }
 
-// Slopes is the command line that fits lines to what Control noted.
+// Slopes is the command that fits lines to the results that Control appended to a CSV file.
 type Slopes struct {
 	CSV string `arg:"" type:"existingfile" help:"file that control --csv wrote"`
 	At  int    `default:"3" help:"groups at which the slope by daemons is taken"`
 	Of  int    `default:"9" help:"daemons at which the slope by groups is taken"`
 }
 
-// Run prints a least-squares line of each cost by daemons and by groups, with
-// the root mean square of what the line leaves over.
+// Run prints a least-squares line of each cost by daemons and by groups, with the root mean square
+// of its residuals.
 func (s *Slopes) Run(_ context.Context, out io.Writer) error {
 	file, err := os.Open(s.CSV)
 	if err != nil {
@@ -153,7 +154,7 @@
 	return nil
 }
 
-// fit takes the rows whose column fixed is at, and fits column y to column x.
+// fit selects the rows with the value at in column fixed, and fits column y to column x.
 func (s *Slopes) fit(out io.Writer, rows [][]string, by string, x, fixed, at, y int, name string, limit float64) {
 	var xs, ys []float64
 	for _, row := range rows {
--- a/internal/load/fleet.go
+++ b/internal/load/fleet.go
@@ -21,20 +21,21 @@
 	"endivemoor.example/endivemoor/view"
 )
 
-// Offsets of a fleet's ports from its first one.
+// Offsets of a fleet's ports from its first port, and the limits that they set. controlPortOffset
+// is relative to the server's port.
 const (
-	serverPorts  = 100
-	controlShift = 200
-	callerPorts  = 500
-	peerPorts    = 600
-	adminPorts   = 700
-	portsOfAKind = 100
-	serversEach  = 3
+	serverPortOffset  = 100
+	controlPortOffset = 200
+	callerPortOffset  = 500
+	peerPortOffset    = 600
+	adminPortOffset   = 700
+	portsPerKind      = 100
+	serversPerGroup   = 3
 )
 
-// Fleet is the command line that writes the files of a fleet of any size, in
-// the form that examples/run.sh takes. All ports follow one after the other
-// from the first, so that several fleets fit on one machine.
+// Fleet is the command that writes the files of a fleet of any size, in the form that
+// examples/run.sh expects. All ports are in one range from the first port on, so that several
+// fleets fit on one machine.
 type Fleet struct {
 	Daemons      int           `default:"9"`
 	Groups       int           `default:"3" help:"database groups of three servers each"`
@@ -45,9 +46,9 @@
 	Dir          string        `required:"" help:"directory to write to"`
 }
 
-// addr returns the n-th address of a kind of port.
-func (f *Fleet) addr(kind, n int) string {
-	return net.JoinHostPort("127.0.0.1", strconv.Itoa(f.FirstPort+kind+n))
+// addr returns the address of the n-th port at an offset.
+func (f *Fleet) addr(offset, n int) string {
+	return net.JoinHostPort("127.0.0.1", strconv.Itoa(f.FirstPort+offset+n))
 }
 
 func (f *Fleet) zone(n int) string { return fmt.Sprint("z", n%f.Zones+1) }
@@ -56,8 +57,8 @@
 
 // Run writes the files.
 func (f *Fleet) Run(_ context.Context, out io.Writer) error {
-	if f.Daemons < 1 || f.Daemons > portsOfAKind || f.Groups*serversEach > portsOfAKind || f.Zones < 1 {
-		return errors.Errorf("at most %d daemons and %d groups, at least one zone", portsOfAKind, portsOfAKind/serversEach)
+	if f.Daemons < 1 || f.Daemons > portsPerKind || f.Groups*serversPerGroup > portsPerKind || f.Zones < 1 {
+		return errors.Errorf("at most %d daemons and %d groups, at least one zone", portsPerKind, portsPerKind/serversPerGroup)
 	}
 	if err := os.MkdirAll(filepath.Join(f.Dir, "objects", "groups"), 0o755); err != nil {
 		return errors.Wrap(err, "fleet")
@@ -81,9 +82,9 @@
 func (f *Fleet) group(n int) view.Group {
 	name := fmt.Sprint("ledger-", n)
 	g := view.Group{Name: name, Term: 1, Primary: target.ID(name + "-a"), Reserved: 1, History: timeline.History{{Term: 1}}}
-	for i := range serversEach {
+	for i := range serversPerGroup {
 		id := target.ID(fmt.Sprintf("%s-%c", name, 'a'+i))
-		g.Servers = append(g.Servers, view.Server{ID: id, Addr: f.addr(serverPorts, serversEach*n+i), Zone: f.zone(i)})
+		g.Servers = append(g.Servers, view.Server{ID: id, Addr: f.addr(serverPortOffset, serversPerGroup*n+i), Zone: f.zone(i)})
 	}
 	return g
 }
@@ -91,12 +92,12 @@
 func (f *Fleet) vms() []store.VM {
 	out := make([]store.VM, f.Daemons)
 	for n := range out {
-		out[n] = store.VM{ID: vmName(n), Zone: f.zone(n), Addr: f.addr(peerPorts, n)}
+		out[n] = store.VM{ID: vmName(n), Zone: f.zone(n), Addr: f.addr(peerPortOffset, n)}
 	}
 	return out
 }
 
-// daemonFile is what one daemon's settings are made from.
+// daemonFile is the data of the template of one daemon's settings.
 type daemonFile struct {
 	ID, Zone, Zones, Callers, Peers, Admin, Platform string
 	Heartbeat, SuspectAfter                          time.Duration
@@ -108,7 +109,7 @@
 		zones += ", " + f.zone(n)
 	}
 	for n := range f.Daemons {
-		d := daemonFile{vmName(n), f.zone(n), zones, f.addr(callerPorts, n), f.addr(peerPorts, n), f.addr(adminPorts, n), f.addr(0, 0), f.Heartbeat, f.SuspectAfter}
+		d := daemonFile{vmName(n), f.zone(n), zones, f.addr(callerPortOffset, n), f.addr(peerPortOffset, n), f.addr(adminPortOffset, n), f.addr(0, 0), f.Heartbeat, f.SuspectAfter}
 		if err := f.write("proxy"+d.ID+".ini", daemonINI, d); err != nil {
 			return err
 		}
@@ -116,18 +117,18 @@
 	return nil
 }
 
-// envFile is what run.env is made from.
+// envFile is the data of the template of run.env.
 type envFile struct {
 	Platform, Admin, Admins string
 	ControlShift            int
 }
 
 func (f *Fleet) env() envFile {
-	admins := f.addr(adminPorts, 0)
+	admins := f.addr(adminPortOffset, 0)
 	for n := 1; n < f.Daemons; n++ {
-		admins += "," + f.addr(adminPorts, n)
+		admins += "," + f.addr(adminPortOffset, n)
 	}
-	return envFile{f.addr(0, 0), f.addr(adminPorts, 0), admins, controlShift}
+	return envFile{f.addr(0, 0), f.addr(adminPortOffset, 0), admins, controlPortOffset}
 }
 
 func (f *Fleet) writeJSON(name string, v any) error {
--- a/internal/load/gap.go
+++ b/internal/load/gap.go
@@ -17,10 +17,9 @@
 	"github.com/pkg/errors"
 )
 
-// Gap is the command line of the failover measurement: callers buy passes
-// without a pause while the primary is broken and mended again and again. It
-// reports how long no write was acknowledged, and at the end looks for every
-// acknowledged write.
+// Gap is the command that measures failover: callers buy passes without a pause while faults of the
+// primary are injected and repaired. It reports how long no write was acknowledged, and at the end
+// checks that each acknowledged write exists exactly once.
 type Gap struct {
 	Proxies  []string      `help:"callers' addresses of the daemons, ip:port" required:""`
 	Admin    string        `help:"admin address of one daemon" required:""`
@@ -36,35 +35,35 @@
 }
 
 const (
-	statusPoll  = 20 * time.Millisecond
-	mendTimeout = 30 * time.Second
-	requestTime = 15 * time.Second
+	statusPollInterval = 20 * time.Millisecond
+	repairTimeout      = 30 * time.Second
+	requestTimeout     = 15 * time.Second
 )
 
-// buyers is the state that all callers share.
-type buyers struct {
-	mu      sync.Mutex
-	acked   []string
-	last    time.Time
-	unknown int
-	notRun  int
-	other   map[string]int
-	// worst is the longest time without an acknowledgement since reset, and
-	// longest the time that the slowest purchase took.
-	worst, longest time.Duration
+// purchaseStats accumulates the results of all callers.
+type purchaseStats struct {
+	mu          sync.Mutex
+	acked       []string
+	lastAck     time.Time
+	unknown     int
+	notExecuted int
+	otherErrors map[string]int
+	// longestGap is the longest time between two acknowledgements since reset, and slowestPurchase
+	// the duration of the slowest purchase since reset.
+	longestGap, slowestPurchase time.Duration
 }
 
-func (b *buyers) ack(id string, took time.Duration) {
+func (b *purchaseStats) recordAcknowledged(id string, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.worst = max(b.worst, now.Sub(b.last))
-	b.longest = max(b.longest, took)
-	b.last = now
+	b.longestGap = max(b.longestGap, now.Sub(b.lastAck))
+	b.slowestPurchase = max(b.slowestPurchase, took)
+	b.lastAck = now
 	b.acked = append(b.acked, id)
 }
 
-func (b *buyers) fail(err error) {
+func (b *purchaseStats) recordFailure(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var pg *pgconn.PgError
@@ -72,35 +71,35 @@
 	case errors.As(err, &pg) && strings.Contains(pg.Detail, "outcome=unknown"):
 		b.unknown++
 	case errors.As(err, &pg) && strings.Contains(pg.Detail, "outcome=not-run"):
-		b.notRun++
+		b.notExecuted++
 	default:
-		b.other[err.Error()]++
+		b.otherErrors[err.Error()]++
 	}
 }
 
-// reset starts a new observation and returns nothing of the old one.
-func (b *buyers) reset() {
+// reset starts a new observation of the gap and of the slowest purchase.
+func (b *purchaseStats) reset() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.worst, b.longest = 0, 0
-	b.last = time.Now()
+	b.longestGap, b.slowestPurchase = 0, 0
+	b.lastAck = time.Now()
 }
 
-// gap returns the longest time without an acknowledgement, and what the slowest
-// purchase took.
-func (b *buyers) gap() (none, slowest time.Duration) {
+// gap returns the longest time without an acknowledgement, including the time since the last one,
+// and the duration of the slowest purchase.
+func (b *purchaseStats) gap() (none, slowest time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return max(b.worst, time.Since(b.last)), b.longest
+	return max(b.longestGap, time.Since(b.lastAck)), b.slowestPurchase
 }
 
-// Run strikes, mends and reports.
+// Run runs all rounds of each fault and prints the results.
 func (g *Gap) Run(ctx context.Context, out io.Writer) error {
 	controls, err := parseControls(g.Controls)
 	if err != nil {
 		return err
 	}
-	b := &buyers{last: time.Now(), other: map[string]int{}}
+	b := &purchaseStats{lastAck: time.Now(), otherErrors: map[string]int{}}
 	work, stop := context.WithCancel(ctx)
 	defer stop()
 	var wg sync.WaitGroup
@@ -115,7 +114,7 @@
 	fmt.Fprintf(out, "%-10s %6s | %9s %9s %9s | %9s %9s | %s\n", "fault", "rounds",
 		"gap p50", "p99", "max", "slow p50", "slow max", "promotions")
 	for _, fault := range g.Faults {
-		if err := g.strikeAll(ctx, out, b, controls, fault); err != nil {
+		if err := g.runFault(ctx, out, b, controls, fault); err != nil {
 			return err
 		}
 	}
@@ -136,12 +135,12 @@
 	return out, nil
 }
 
-func (g *Gap) strikeAll(ctx context.Context, out io.Writer, b *buyers, controls map[string]string, fault string) error {
+func (g *Gap) runFault(ctx context.Context, out io.Writer, b *purchaseStats, controls map[string]string, fault string) error {
 	gaps := hdrhistogram.New(minLatency, maxLatency, latencyDigits)
 	waits := hdrhistogram.New(minLatency, maxLatency, latencyDigits)
 	promotions := 0
 	for range g.Rounds {
-		promoted, err := g.strike(ctx, b, controls, fault)
+		promoted, err := g.runRound(ctx, b, controls, fault)
 		if err != nil {
 			return errors.Wrap(err, fault)
 		}
@@ -160,10 +159,10 @@
 	return nil
 }
 
-// strike breaks the present primary, waits for the next acknowledgement after
-// a promotion, mends the server, and waits until it follows.
-func (g *Gap) strike(ctx context.Context, b *buyers, controls map[string]string, fault string) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, mendTimeout)
+// runRound injects a fault into the current primary, waits for a promotion, repairs the server, and
+// waits until it follows the new primary. It reports whether there was a promotion.
+func (g *Gap) runRound(ctx context.Context, b *purchaseStats, controls map[string]string, fault string) (bool, error) {
+	ctx, cancel := context.WithTimeout(ctx, repairTimeout)
 	defer cancel()
 	before, err := g.group(ctx)
 	if err != nil {
@@ -171,35 +170,36 @@
 	}
 	control := controls[before.Primary]
 	b.reset()
-	if err = apply(control, fault); err != nil {
+	if err = applyFault(control, fault); err != nil {
 		return false, err
 	}
 	promoted := g.awaitPromotion(ctx, before.Term)
 	time.Sleep(g.Settle / 2)
-	if err = mend(control); err != nil {
+	if err = repair(control); err != nil {
 		return false, err
 	}
 	if err = g.awaitFollowing(ctx, control); err != nil {
-		return false, errors.Wrap(err, describe(controls))
+		return false, errors.Wrap(err, describeServers(controls))
 	}
 	time.Sleep(g.Settle)
 	return promoted, nil
 }
 
-// awaitPromotion gives up after a while: some faults need none.
+// awaitPromotion reports whether a promotion to a later term occurs within a third of
+// repairTimeout. Some faults cause none.
 func (g *Gap) awaitPromotion(ctx context.Context, term uint64) bool {
-	ctx, cancel := context.WithTimeout(ctx, mendTimeout/3)
+	ctx, cancel := context.WithTimeout(ctx, repairTimeout/3)
 	defer cancel()
 	for ctx.Err() == nil {
 		if now, err := g.group(ctx); err == nil && now.Term > term {
 			return true
 		}
-		time.Sleep(statusPoll)
+		time.Sleep(statusPollInterval)
 	}
 	return false
 }
 
-// awaitFollowing waits until the mended server is of the newest term.
+// awaitFollowing waits until the repaired server reports the newest term.
 func (g *Gap) awaitFollowing(ctx context.Context, control string) error {
 	for {
 		group, err := g.group(ctx)
@@ -212,12 +212,12 @@
 		if ctx.Err() != nil {
 			return errors.Errorf("the mended server does not follow: %v", err)
 		}
-		time.Sleep(statusPoll)
+		time.Sleep(statusPollInterval)
 	}
 }
 
-// describe returns every server's own account, for the report of a failure.
-func describe(controls map[string]string) string {
+// describeServers returns the status report of every server, for an error message.
+func describeServers(controls map[string]string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	var out []string
@@ -231,7 +231,7 @@
 	return strings.Join(out, "\n")
 }
 
-// groupState is the part of a daemon's status that is needed here.
+// groupState is the part of a daemon's status that Gap uses.
 type groupState struct {
 	Term    uint64 `json:"term"`
 	Primary string `json:"primary"`
@@ -258,7 +258,7 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
-// faults are the control calls behind each fault's name.
+// faults are the parameters of the fault control call for each fault.
 var faults = map[string]url.Values{
 	"freeze":    {"kind": {"freeze"}},
 	"cut":       {"kind": {"cut"}, "who": {"*"}, "direction": {"both"}},
@@ -270,17 +270,17 @@
 	"speed":     {"kind": {"slow"}, "factor": {"1"}},
 }
 
-// mend takes every fault back.
-func mend(control string) error {
+// repair reverts every fault.
+func repair(control string) error {
 	for _, f := range []string{"thaw", "heal", "speed"} {
-		if err := apply(control, f); err != nil {
+		if err := applyFault(control, f); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func apply(control, fault string) error {
+func applyFault(control, fault string) error {
 	v, ok := faults[fault]
 	if !ok {
 		return errors.Errorf("unknown fault %q", fault)
@@ -296,9 +296,9 @@
 	return nil
 }
 
-// buy sends purchases one after the other, each under its own key, repeated
-// with the same key while the outcome is unknown.
-func (g *Gap) buy(ctx context.Context, b *buyers, caller int) {
+// buy sends purchases one after the other, each with its own key. It repeats a failed purchase with
+// the same key until it is acknowledged.
+func (g *Gap) buy(ctx context.Context, b *purchaseStats, caller int) {
 	run := time.Now().UnixNano()
 	var conn *pgx.Conn
 	for n := 0; ctx.Err() == nil; n++ {
@@ -307,12 +307,12 @@
 		for ctx.Err() == nil {
 			err := g.buyOnce(ctx, &conn, id, (caller+n)%len(g.Proxies))
 			if err == nil {
-				b.ack(id, time.Since(begin))
+				b.recordAcknowledged(id, time.Since(begin))
 				break
 			}
 			if ctx.Err() == nil {
-				b.fail(err)
-				time.Sleep(statusPoll)
+				b.recordFailure(err)
+				time.Sleep(statusPollInterval)
 			}
 		}
 	}
@@ -322,7 +322,7 @@
 }
 
 func (g *Gap) buyOnce(ctx context.Context, conn **pgx.Conn, id string, proxy int) error {
-	ctx, cancel := context.WithTimeout(ctx, requestTime)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	if *conn == nil || (*conn).IsClosed() {
 		c, err := connect(ctx, g.endpoint(g.Proxies[proxy]))
@@ -343,8 +343,8 @@
 	}
 }
 
-// report looks for every acknowledged purchase.
-func (g *Gap) report(ctx context.Context, out io.Writer, b *buyers) error {
+// report checks that each acknowledged purchase exists exactly once, and prints the totals.
+func (g *Gap) report(ctx context.Context, out io.Writer, b *purchaseStats) error {
 	conn, err := connect(ctx, g.endpoint(g.Proxies[0]))
 	if err != nil {
 		return err
@@ -363,8 +363,8 @@
 			twice++
 		}
 	}
-	fmt.Fprintf(out, "acknowledged %d, lost %d, twice %d; answers unknown %d, not run %d\n", len(b.acked), lost, twice, b.unknown, b.notRun)
-	for text, n := range b.other {
+	fmt.Fprintf(out, "acknowledged %d, lost %d, twice %d; answers unknown %d, not run %d\n", len(b.acked), lost, twice, b.unknown, b.notExecuted)
+	for text, n := range b.otherErrors {
 		fmt.Fprintf(out, "other error x%d: %s\n", n, text)
 	}
 	if lost+twice > 0 {
--- a/internal/load/line.go
+++ b/internal/load/line.go
@@ -5,14 +5,14 @@
 // line is a least-squares line through points.
 type line struct {
 	base, slope float64
-	// residual is the root mean square of what the line leaves over.
+	// residual is the root mean square of the residuals.
 	residual float64
 }
 
-// fitLine returns the line of ys over xs, which must hold two different values.
+// fitLine returns the least-squares line of ys over xs, which must contain two different values.
 func fitLine(xs, ys []float64) line {
 	mx, my := mean(xs), mean(ys)
-	var sxy, sxx, left float64
+	var sxy, sxx, squares float64
 	for i := range xs {
 		sxy += (xs[i] - mx) * (ys[i] - my)
 		sxx += (xs[i] - mx) * (xs[i] - mx)
@@ -21,9 +21,9 @@
 	l.base = my - l.slope*mx
 	for i := range xs {
 		d := ys[i] - l.base - l.slope*xs[i]
-		left += d * d
+		squares += d * d
 	}
-	l.residual = math.Sqrt(left / float64(len(xs)))
+	l.residual = math.Sqrt(squares / float64(len(xs)))
 	return l
 }
 
--- a/internal/load/line_test.go
+++ b/internal/load/line_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A page of slopes is only worth what the fit is: points on a line give the
-// line and no residual, and one point off shows.
+// Failure guarded against: the fit reports wrong slopes. Points on a line must give that line and
+// no residual, and a point off the line must give a residual.
 func TestFitLine(t *testing.T) {
 	l := fitLine([]float64{3, 9, 18, 27}, []float64{7, 19, 37, 55})
 	require.InDelta(t, 1, l.base, 1e-9)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,7 +1,8 @@
-// Package load is a small closed-loop load tool for any PostgreSQL endpoint: a
-// number of callers, each with one connection, send one request after the
-// other. Latencies go into HDR histograms. It compares endpoints within one run
-// by alternating between them, so that the machine's mood cancels out.
+// Package load implements the commands of endivemoor-load, which generate load on running daemons
+// and measure them. Its load generator, Compare, is a closed loop for any PostgreSQL endpoint: a
+// number of callers, each with one connection, send one request after the other. Latencies are
+// recorded in HDR histograms. Compare alternates between two endpoints within one run, so that
+// changes in the speed of the machine cancel out. The commands start and stop no process.
 package load
 
 import (
@@ -15,13 +16,13 @@
 )
 
 const (
-	minLatency    = int64(time.Microsecond)
-	maxLatency    = int64(time.Minute)
-	latencyDigits = 3
-	openAtOnce    = 32
+	minLatency         = int64(time.Microsecond)
+	maxLatency         = int64(time.Minute)
+	latencyDigits      = 3
+	maxConcurrentOpens = 32
 )
 
-// Endpoint is one place to send requests to.
+// Endpoint is a server or daemon that receives requests.
 type Endpoint struct {
 	Name string
 	// URL is a PostgreSQL connection string.
@@ -33,17 +34,17 @@
 // Request is one statement with one text argument made from a sequence number.
 type Request struct {
 	SQL string
-	// Arg returns the argument of the n-th request of a caller; nil: none.
+	// Arg returns the argument of the n-th request of a caller; nil means no argument.
 	Arg func(caller, n int) string
 }
 
-// Result is what a run of one endpoint showed.
+// Result is the measurement of one endpoint.
 type Result struct {
 	Endpoint string
 	Callers  int
 	Done     int64
 	Failed   int64
-	// FirstError is an example of a failure.
+	// FirstError is the text of one of the failures.
 	FirstError string
 	Elapsed    time.Duration
 	Latency    *hdrhistogram.Histogram
@@ -54,10 +55,10 @@
 	return time.Duration(r.Latency.ValueAtQuantile(q))
 }
 
-// PerSecond is the throughput.
+// PerSecond returns the number of successful requests per second.
 func (r Result) PerSecond() float64 { return float64(r.Done) / r.Elapsed.Seconds() }
 
-// add merges another round of the same endpoint.
+// add merges the result of another round of the same endpoint.
 func (r *Result) add(o Result) {
 	r.Done += o.Done
 	r.Failed += o.Failed
@@ -72,17 +73,17 @@
 	return Result{Endpoint: endpoint, Callers: callers, Latency: hdrhistogram.New(minLatency, maxLatency, latencyDigits)}
 }
 
-// crew is the open connections of one endpoint's callers.
-type crew struct {
+// callerGroup holds the open connections of one endpoint's callers.
+type callerGroup struct {
 	endpoint Endpoint
 	conns    []*pgx.Conn
 }
 
-// hire opens the callers' connections, a bounded number at once.
-func hire(ctx context.Context, e Endpoint, callers int) (*crew, error) {
-	c := &crew{endpoint: e, conns: make([]*pgx.Conn, callers)}
+// openCallers opens the callers' connections, up to maxConcurrentOpens at once.
+func openCallers(ctx context.Context, e Endpoint, callers int) (*callerGroup, error) {
+	c := &callerGroup{endpoint: e, conns: make([]*pgx.Conn, callers)}
 	errs := make(chan error, callers)
-	slots := make(chan struct{}, openAtOnce)
+	slots := make(chan struct{}, maxConcurrentOpens)
 	for i := range callers {
 		go func() {
 			slots <- struct{}{}
@@ -113,7 +114,7 @@
 	return pgx.ConnectConfig(ctx, cfg)
 }
 
-func (c *crew) dismiss() {
+func (c *callerGroup) close() {
 	for _, conn := range c.conns {
 		if conn != nil {
 			_ = conn.Close(context.Background())
@@ -121,8 +122,8 @@
 	}
 }
 
-// work sends requests from all callers for d.
-func (c *crew) work(ctx context.Context, req Request, d time.Duration) Result {
+// run sends requests from all callers for the duration d.
+func (c *callerGroup) run(ctx context.Context, req Request, d time.Duration) Result {
 	total := newResult(c.endpoint.Name, len(c.conns))
 	begin := time.Now()
 	end := begin.Add(d)
@@ -132,7 +133,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			results <- caller(ctx, conn, i, req, end)
+			results <- runCaller(ctx, conn, i, req, end)
 		}()
 	}
 	wg.Wait()
@@ -144,11 +145,11 @@
 	return total
 }
 
-func caller(ctx context.Context, conn *pgx.Conn, id int, req Request, end time.Time) Result {
+func runCaller(ctx context.Context, conn *pgx.Conn, id int, req Request, end time.Time) Result {
 	r := newResult("", 1)
 	for n := 0; time.Now().Before(end); n++ {
 		begin := time.Now()
-		err := one(ctx, conn, id, n, req)
+		err := sendRequest(ctx, conn, id, n, req)
 		_ = r.Latency.RecordValue(time.Since(begin).Nanoseconds())
 		if err != nil {
 			r.Failed++
@@ -163,7 +164,7 @@
 	return r
 }
 
-func one(ctx context.Context, conn *pgx.Conn, id, n int, req Request) error {
+func sendRequest(ctx context.Context, conn *pgx.Conn, id, n int, req Request) error {
 	var args []any
 	if req.Arg != nil {
 		args = append(args, req.Arg(id, n))
@@ -176,24 +177,24 @@
 	return rows.Err()
 }
 
-// Compare runs each endpoint's request in alternating rounds and returns both
-// results. A first short round of each warms up and is not counted.
+// Compare runs the requests of both endpoints in alternating rounds and returns both results. A
+// first short round of each endpoint is for warm-up and is not counted.
 func Compare(ctx context.Context, endpoints [2]Endpoint, reqs [2]Request, callers, rounds int, each time.Duration) ([2]Result, error) {
 	var out [2]Result
-	var crews [2]*crew
+	var groups [2]*callerGroup
 	for i, e := range endpoints {
-		c, err := hire(ctx, e, callers)
-		defer c.dismiss()
+		c, err := openCallers(ctx, e, callers)
+		defer c.close()
 		if err != nil {
 			return out, err
 		}
-		c.work(ctx, reqs[i], each/4)
-		crews[i] = c
+		c.run(ctx, reqs[i], each/4)
+		groups[i] = c
 		out[i] = newResult(e.Name, callers)
 	}
 	for range rounds {
-		for i, c := range crews {
-			out[i].add(c.work(ctx, reqs[i], each))
+		for i, c := range groups {
+			out[i].add(c.run(ctx, reqs[i], each))
 		}
 	}
 	return out, nil
--- a/internal/load/scrape.go
+++ b/internal/load/scrape.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	scrapeTimeout = 5 * time.Second
-	scrapesAtOnce = 4
-	purposeLabel  = "purpose"
+	scrapeTimeout        = 5 * time.Second
+	maxConcurrentScrapes = 4
+	purposeLabel         = "purpose"
 )
 
-// daemonState is what is read of a daemon's /status.
+// daemonState is the part of a daemon's /status that the commands use.
 type daemonState struct {
 	VM           string    `json:"vm"`
 	Ready        bool      `json:"ready"`
@@ -46,10 +46,10 @@
 	return read(resp.Body)
 }
 
-// each runs f for every address, a few at once.
+// each runs f for every address, up to maxConcurrentScrapes at once.
 func each(ctx context.Context, addrs []string, f func(ctx context.Context, i int, addr string) error) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(scrapesAtOnce)
+	group.SetLimit(maxConcurrentScrapes)
 	for i, addr := range addrs {
 		group.Go(func() error { return f(ctx, i, addr) })
 	}
@@ -64,7 +64,7 @@
 	return out, err
 }
 
-// families are one daemon's metrics by name.
+// families maps the names of one daemon's metrics to their families.
 type families map[string]*dto.MetricFamily
 
 func metrics(ctx context.Context, admins []string) ([]families, error) {
@@ -79,7 +79,7 @@
 	return out, err
 }
 
-// by adds up a counter by the values of a label.
+// by returns the sums of a counter or gauge by the values of a label.
 func (f families) by(name, label string) map[string]float64 {
 	out := map[string]float64{}
 	for _, m := range f[name].GetMetric() {
@@ -94,7 +94,7 @@
 
 func value(m *dto.Metric) float64 { return m.GetCounter().GetValue() + m.GetGauge().GetValue() }
 
-// sum adds up a counter or gauge over its labels.
+// sum returns the sum of a counter or gauge over all its labels.
 func (f families) sum(name string) float64 {
 	total := 0.0
 	for _, m := range f[name].GetMetric() {
--- a/internal/load/spread.go
+++ b/internal/load/spread.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	spreadPoll = 100 * time.Millisecond
-	spreadWait = 40 * time.Second
-	callsName  = "endivemoor_platform_calls_total"
+	spreadPollInterval = 100 * time.Millisecond
+	spreadTimeout      = 40 * time.Second
+	callsName          = "endivemoor_platform_calls_total"
 )
 
-// Spread is the command line of the measurement of how a configuration comes
-// into force on a fleet of running daemons. It publishes sets as two operators
-// would, and reads from each daemon when it took them; both by one machine's
-// wall clock. It starts and stops no process.
+// Spread is the command that measures how a configuration comes into force on a fleet of running
+// daemons. It publishes profile sets, with an author and a reviewer, and reads from each daemon
+// when it put them into force. Both times must be from the wall clock of the same machine. It
+// starts and stops no process.
 type Spread struct {
 	Admins   []string      `required:"" help:"admin addresses of all daemons, ip:port"`
 	Platform string        `required:"" help:"address of the stand-in platform, ip:port"`
@@ -39,7 +39,7 @@
 	Outage   bool          `help:"publish once more, take the store down at the acceptance and leave it so"`
 }
 
-// Run measures and prints.
+// Run measures the fleet and prints the results.
 func (s *Spread) Run(ctx context.Context, out io.Writer) error {
 	p, err := client.New("http://"+s.Platform, client.Options{})
 	if err != nil {
@@ -49,14 +49,14 @@
 	if _, err = awaitAll(ctx, s.Admins, 1); err != nil {
 		return err
 	}
-	if err = s.count(ctx, out, "idle", func() error {
+	if err = s.countCalls(ctx, out, "idle", func() error {
 		wait.For(ctx, s.Idle)
 		return ctx.Err()
 	}); err != nil {
 		return err
 	}
 	var times []time.Duration
-	err = s.count(ctx, out, "publishing", func() error {
+	err = s.countCalls(ctx, out, "publishing", func() error {
 		times, err = s.rounds(ctx, profiles)
 		return err
 	})
@@ -93,17 +93,17 @@
 	return times, nil
 }
 
-var grace = regexp.MustCompile(`(?m)^drain-grace.*$`)
+var drainGrace = regexp.MustCompile(`(?m)^drain-grace.*$`)
 
-// publish returns the new generation and an instant before its acceptance: that
-// of the call, so that no time between the store's change and its answer is
-// left out.
+// publish publishes a changed profile set. It returns the new generation and the time of the
+// publish call rather than that of its reply, so that the time between the store's change and the
+// reply is included in the measurement.
 func (s *Spread) publish(ctx context.Context, profiles *store.Store, n int) (uint64, time.Time, error) {
 	text, err := os.ReadFile(s.Profiles)
 	if err != nil {
 		return 0, time.Time{}, err
 	}
-	text = grace.ReplaceAll(text, fmt.Appendf(nil, "drain-grace = %ds", 6+n%20))
+	text = drainGrace.ReplaceAll(text, fmt.Appendf(nil, "drain-grace = %ds", 6+n%20))
 	draft, found, err := profiles.Create(ctx, store.By{Actor: "aoife", Reason: "measure"}, "spread.ini", text)
 	if err == nil {
 		err = found.Err()
@@ -122,7 +122,8 @@
 	return uint64(done.Record.Generation), begin, nil
 }
 
-// outage takes the store down as soon as a publication is accepted.
+// outage takes the store down as soon as it has accepted a publication, and prints when the
+// publication came into force.
 func (s *Spread) outage(ctx context.Context, out io.Writer, profiles *store.Store) error {
 	generation, accepted, err := s.publish(ctx, profiles, s.Rounds)
 	if err != nil {
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// count prints how many store calls a second the daemons made meanwhile.
-func (s *Spread) count(ctx context.Context, out io.Writer, what string, work func() error) error {
+// countCalls prints the number of store calls per second that the daemons made while work ran.
+func (s *Spread) countCalls(ctx context.Context, out io.Writer, what string, work func() error) error {
 	before, err := metrics(ctx, s.Admins)
 	if err != nil {
 		return err
@@ -160,10 +161,10 @@
 	}
 	calls, total := map[string]float64{}, 0.0
 	for i := range after {
-		was := before[i].by(callsName, purposeLabel)
+		callsBefore := before[i].by(callsName, purposeLabel)
 		for purpose, n := range after[i].by(callsName, purposeLabel) {
-			calls[purpose] += n - was[purpose]
-			total += n - was[purpose]
+			calls[purpose] += n - callsBefore[purpose]
+			total += n - callsBefore[purpose]
 		}
 	}
 	fmt.Fprintf(out, "daemons=%d %s for %.0f s, store calls a second: total %.2f", len(s.Admins), what, took, total/took)
@@ -174,14 +175,14 @@
 	return nil
 }
 
-// Await is the command line that waits until daemons have a generation, such as
-// those that were started again during an outage.
+// Await is the command that waits until daemons have a generation, such as daemons that were
+// restarted during an outage.
 type Await struct {
 	Admins     []string `required:"" help:"admin addresses, ip:port"`
 	Generation uint64   `default:"1"`
 }
 
-// Run waits and prints how long it took.
+// Run waits for the generation and prints how long it took.
 func (a *Await) Run(ctx context.Context, out io.Writer) error {
 	begin := time.Now()
 	last, err := awaitAll(ctx, a.Admins, a.Generation)
@@ -192,15 +193,15 @@
 	return nil
 }
 
-// awaitAll waits until all daemons are ready with the generation, and returns
-// when the last of them took it.
+// awaitAll waits until all daemons are ready and have the generation, and returns when the last of
+// them put it into force.
 func awaitAll(ctx context.Context, admins []string, generation uint64) (last time.Time, err error) {
-	ctx, cancel := context.WithTimeout(ctx, spreadWait)
+	ctx, cancel := context.WithTimeout(ctx, spreadTimeout)
 	defer cancel()
 	for {
 		now, err := states(ctx, admins)
-		late := slices.IndexFunc(now, func(s daemonState) bool { return !s.Ready || s.Generation < generation })
-		if err == nil && late < 0 {
+		behind := slices.IndexFunc(now, func(s daemonState) bool { return !s.Ready || s.Generation < generation })
+		if err == nil && behind < 0 {
 			for _, s := range now {
 				if s.InForceSince.After(last) {
 					last = s.InForceSince
@@ -208,8 +209,8 @@
 			}
 			return last, nil
 		}
-		if !wait.For(ctx, spreadPoll) {
-			return last, errors.Errorf("generation %d not in force on all after %s: %+v, %v", generation, spreadWait, now, err)
+		if !wait.For(ctx, spreadPollInterval) {
+			return last, errors.Errorf("generation %d not in force on all after %s: %+v, %v", generation, spreadTimeout, now, err)
 		}
 	}
 }
