--- a/internal/demo/caller.go
+++ b/internal/demo/caller.go
@@ -12,8 +12,8 @@
 	sessionParam = "endivemoor.session"
 )
 
-// connect opens a caller's connection to the i-th daemon, with a session token
-// when there is one.
+// connect opens a caller's connection to the i-th daemon, with the session token unless it is
+// empty.
 func (d *demo) connect(ctx context.Context, i int, token string) (*pgx.Conn, error) {
 	cfg, err := pgx.ParseConfig("postgres://" + d.Callers[i] + "/" + d.Group + "?sslmode=disable")
 	if err != nil {
@@ -28,7 +28,7 @@
 	return pgx.ConnectConfig(ctx, cfg)
 }
 
-// tagged prefixes sql with the request's kind and key.
+// tagged prefixes sql with the request's kind and with its key, unless the key is empty.
 func tagged(kind, key, sql string) string {
 	tag := "kind=" + kind
 	if key != "" {
@@ -37,14 +37,14 @@
 	return "/*endivemoor " + tag + "*/ " + sql
 }
 
-// purchase buys the pass id under the request key through conn.
+// purchase buys the pass id with the request key through conn.
 func purchase(ctx context.Context, conn *pgx.Conn, key, id string) error {
 	const insert = "INSERT INTO passes(id, flight, price) VALUES ($1, 'SK101', '12')"
 	_, err := conn.Exec(ctx, tagged("purchase", key, insert), pgx.QueryExecModeExec, id)
 	return errors.Wrap(err, "purchase "+id)
 }
 
-// count returns how many passes have the id, read as a balance check.
+// count returns the number of passes with the id, in a read of kind balance.
 func count(ctx context.Context, conn *pgx.Conn, id string) (string, error) {
 	const query = "SELECT count(*) FROM passes WHERE id = $1"
 	var n string
@@ -52,7 +52,7 @@
 	return n, errors.Wrap(err, "read "+id)
 }
 
-// expectOne fails unless the pass is there exactly once.
+// expectOne returns an error unless the pass exists exactly once.
 func expectOne(ctx context.Context, conn *pgx.Conn, id string) error {
 	n, err := count(ctx, conn, id)
 	if err != nil {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo is the main job from end to end, as a caller sees it: buy a
-// pass, read it back through other proxies, lose the primary, buy another one,
-// change a profile, and shut a proxy down in mid-transaction. Each step prints
-// its time, its outcome and where to look further.
+// Package demo runs the main functions of the daemons end to end from a caller's point of view: it
+// buys a pass, reads it through other daemons, kills the primary, buys another pass, changes a
+// profile, and shuts a daemon down during a transaction. Each step prints its duration, its outcome
+// and where to look for more details. Main runs all steps; it starts no process.
 package demo
 
 import (
@@ -15,11 +15,11 @@
 )
 
 const (
-	stepTimeout = 30 * time.Second
-	pollEvery   = 50 * time.Millisecond
+	stepTimeout  = 30 * time.Second
+	pollInterval = 50 * time.Millisecond
 )
 
-// Options name the processes to play against; addresses are ip:port.
+// Options are the command line; they name the processes that the demo uses. Addresses are ip:port.
 type Options struct {
 	Callers  []string `help:"callers' addresses of the three daemons" required:""`
 	Admin    []string `help:"admin addresses of the three daemons" required:""`
@@ -34,14 +34,14 @@
 	Work     string   `help:"folder of the run's logs" required:""`
 }
 
-// step is one scene; it returns what to print.
+// step is one step of the demo. Its run returns the outcome to print.
 type step struct {
 	name string
-	look string
+	hint string
 	run  func(d *demo, ctx context.Context) (string, error)
 }
 
-// demo carries what later steps need of earlier ones.
+// demo holds the options, and the session token that later steps take from an earlier one.
 type demo struct {
 	Options
 	token string
@@ -52,9 +52,9 @@
 	{"buy", "GET /explain of the first daemon", (*demo).buy},
 	{"read with token", "GET /explain of the second daemon", (*demo).readWithToken},
 	{"read without token", "GET /explain of the second daemon", (*demo).readWithoutToken},
-	{"ask twice", "the target's /executions", (*demo).askTwice},
+	{"ask twice", "the target's /executions", (*demo).repeatPurchase},
 	{"kill primary", "GET /explain?promotion=GROUP", (*demo).killPrimary},
-	{"still there", "endivemoorctl group status", (*demo).stillThere},
+	{"still there", "endivemoorctl group status", (*demo).verifyPurchases},
 	{"profile change", "endivemoorctl profile history", (*demo).profileChange},
 	{"graceful shutdown", "the daemon's log: event=drained", (*demo).gracefulShutdown},
 }
@@ -76,8 +76,8 @@
 
 func run(d *demo) int {
 	for _, s := range steps {
-		if err := play(d, s); err != nil {
-			fmt.Printf("%-20s WRONG  %v\n%-20s look   %s; logs in %s\n", s.name, err, "", s.look, d.Work)
+		if err := runStep(d, s); err != nil {
+			fmt.Printf("%-20s WRONG  %v\n%-20s look   %s; logs in %s\n", s.name, err, "", s.hint, d.Work)
 			return 1
 		}
 	}
@@ -85,20 +85,20 @@
 	return 0
 }
 
-func play(d *demo, s step) error {
+func runStep(d *demo, s step) error {
 	ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
 	defer cancel()
 	begin := time.Now()
-	said, err := s.run(d, ctx)
+	outcome, err := s.run(d, ctx)
 	if err != nil {
 		return err
 	}
 	took := time.Since(begin).Round(100 * time.Microsecond)
-	fmt.Printf("%-20s ok     %-10s %s (look: %s)\n", s.name, took, said, s.look)
+	fmt.Printf("%-20s ok     %-10s %s (look: %s)\n", s.name, took, outcome, s.hint)
 	return nil
 }
 
-// poll calls f until it gives no error.
+// poll calls f every pollInterval until it returns no error or ctx is done.
 func poll(ctx context.Context, f func() error) error {
 	for {
 		err := f()
@@ -108,7 +108,7 @@
 		select {
 		case <-ctx.Done():
 			return errors.Wrap(err, "gave up waiting")
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/internal/demo/steps.go
+++ b/internal/demo/steps.go
@@ -20,7 +20,7 @@
 
 func (d *demo) waitReady(ctx context.Context) (string, error) {
 	for _, addr := range d.Admin {
-		if err := poll(ctx, func() error { return getOK(ctx, addr, "/readyz") }); err != nil {
+		if err := poll(ctx, func() error { return expectOK(ctx, addr, "/readyz") }); err != nil {
 			return "", err
 		}
 	}
@@ -63,9 +63,9 @@
 	return fmt.Sprintf("read %s through daemon %d", firstPass, i+1), nil
 }
 
-// askTwice sends the first purchase again through another daemon, as a caller
-// does that lost its answer. The statement must not run a second time.
-func (d *demo) askTwice(ctx context.Context) (string, error) {
+// repeatPurchase sends the first purchase again through another daemon, as a caller does that has
+// not received the answer. The statement must not run a second time.
+func (d *demo) repeatPurchase(ctx context.Context) (string, error) {
 	conn, err := d.connect(ctx, 1, "")
 	if err != nil {
 		return "", err
@@ -78,7 +78,7 @@
 }
 
 func (d *demo) killPrimary(ctx context.Context) (string, error) {
-	if err := kill(ctx, d.Controls[0]); err != nil {
+	if err := killServer(ctx, d.Controls[0]); err != nil {
 		return "", err
 	}
 	begin := time.Now()
@@ -91,9 +91,9 @@
 	return fmt.Sprintf("the next purchase succeeded after %s and %d tries", gap, tries), nil
 }
 
-// kill ends a stand-in server's process and waits until it is gone, so that
-// the step proves what it says.
-func kill(ctx context.Context, control string) error {
+// killServer kills the process of a stand-in server and waits until it has exited, so that the
+// following purchase cannot succeed on the old primary.
+func killServer(ctx context.Context, control string) error {
 	resp, err := http.Post("http://"+control+"/fault?kind=kill", "", nil)
 	if err != nil {
 		return errors.Wrap(err, "kill")
@@ -116,7 +116,7 @@
 	return purchase(ctx, conn, key, id)
 }
 
-func (d *demo) stillThere(ctx context.Context) (string, error) {
+func (d *demo) verifyPurchases(ctx context.Context) (string, error) {
 	conn, err := d.connect(ctx, 2, "")
 	if err != nil {
 		return "", err
@@ -128,8 +128,8 @@
 	return "both purchases are there once", expectOne(ctx, conn, secondPass)
 }
 
-// profileChange tells the script to publish, and waits until every daemon has
-// the next generation in force.
+// profileChange signals the script to publish, and waits until every daemon has a later generation
+// in force.
 func (d *demo) profileChange(ctx context.Context) (string, error) {
 	before, err := generation(ctx, d.Admin[0])
 	if err != nil {
@@ -139,7 +139,7 @@
 		return "", errors.Wrap(err, "signal to publish")
 	}
 	for _, addr := range d.Admin {
-		err = poll(ctx, func() error { return expectAbove(ctx, addr, before) })
+		err = poll(ctx, func() error { return expectGenerationAbove(ctx, addr, before) })
 		if err != nil {
 			return "", err
 		}
@@ -147,7 +147,7 @@
 	return fmt.Sprintf("generation %d in force on all %d", before+1, len(d.Admin)), nil
 }
 
-func expectAbove(ctx context.Context, addr string, before uint64) error {
+func expectGenerationAbove(ctx context.Context, addr string, before uint64) error {
 	now, err := generation(ctx, addr)
 	if err != nil {
 		return err
@@ -158,8 +158,8 @@
 	return nil
 }
 
-// gracefulShutdown ends the third daemon while a transaction is open on it.
-// The transaction must commit, and the daemon must then be gone.
+// gracefulShutdown sends SIGTERM to the last daemon while a transaction is open on it. The
+// transaction must commit, and the daemon must then exit.
 func (d *demo) gracefulShutdown(ctx context.Context) (string, error) {
 	last := len(d.Callers) - 1
 	conn, err := d.connect(ctx, last, "")
@@ -173,7 +173,7 @@
 	if err = syscall.Kill(d.DrainPID, syscall.SIGTERM); err != nil {
 		return "", errors.Wrap(err, "SIGTERM")
 	}
-	if err = poll(ctx, func() error { return getNotReady(ctx, d.Admin[last]) }); err != nil {
+	if err = poll(ctx, func() error { return expectNotReady(ctx, d.Admin[last]) }); err != nil {
 		return "", err
 	}
 	const insert = "INSERT INTO passes(id, flight, price) VALUES ('" + heldPass + "', 'SK101', '12')"
@@ -183,13 +183,13 @@
 	if _, err = conn.Exec(ctx, "COMMIT"); err != nil {
 		return "", errors.Wrap(err, "commit while draining")
 	}
-	if err = poll(ctx, func() error { return expectGone(d.DrainPID) }); err != nil {
+	if err = poll(ctx, func() error { return expectExited(d.DrainPID) }); err != nil {
 		return "", err
 	}
-	return "the open transaction committed, then the daemon left", d.expectElsewhere(ctx)
+	return "the open transaction committed, then the daemon left", d.expectHeldPass(ctx)
 }
 
-func (d *demo) expectElsewhere(ctx context.Context) error {
+func (d *demo) expectHeldPass(ctx context.Context) error {
 	conn, err := d.connect(ctx, 0, "")
 	if err != nil {
 		return err
@@ -198,14 +198,14 @@
 	return expectOne(ctx, conn, heldPass)
 }
 
-func expectGone(pid int) error {
+func expectExited(pid int) error {
 	if syscall.Kill(pid, 0) == nil {
 		return errors.Errorf("process %d still runs", pid)
 	}
 	return nil
 }
 
-func getOK(ctx context.Context, addr, path string) error {
+func expectOK(ctx context.Context, addr, path string) error {
 	code, _, err := get(ctx, addr, path)
 	if err != nil {
 		return err
@@ -216,9 +216,10 @@
 	return nil
 }
 
-// getNotReady succeeds once /readyz refuses; a closed endpoint counts too.
-func getNotReady(ctx context.Context, addr string) error {
-	if getOK(ctx, addr, "/readyz") == nil {
+// expectNotReady returns an error while /readyz reports ready. A closed endpoint counts as not
+// ready.
+func expectNotReady(ctx context.Context, addr string) error {
+	if expectOK(ctx, addr, "/readyz") == nil {
 		return errors.New(addr + " still says that it is ready")
 	}
 	return nil
