--- a/internal/experiment/capacity/control.sh
+++ b/internal/experiment/capacity/control.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Measures what a daemon's control costs by the number of groups: processor
-# time and bytes on the wire, idle, over ten seconds each. Run it from the root
-# after `make build`. It uses the ports of examples/demo and stops what it
-# started.
+# Measures the control cost of an idle daemon by the number of groups: processor
+# time and bytes on the wire, over ten seconds for each number. Run it from the
+# root after `make build`. It uses the ports of examples/demo and stops the
+# processes that it started.
 set -euo pipefail
 span=10
 mkdir -p out
 
-bytes() { # pid: "peer sent received" of each of its connections
+bytes() { # pid: "local|peer sent received" for each of its connections
   ss -tinp state established | awk -v pid="pid=$1," '
     /users/ { mine = index($0, pid) > 0; from = $3; to = $4; next }
     mine && /bytes_/ {
--- a/internal/experiment/capacity/store.sh
+++ b/internal/experiment/capacity/store.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Measures the calls to the store a second by purpose as daemons are added, idle,
-# over twenty seconds each. Run it from the root after `make build`. It uses the
-# ports of examples/demo and stops what it started.
+# Measures the calls to the store per second and purpose of idle daemons by their
+# number, over twenty seconds for each number. Run it from the root after
+# `make build`. It uses the ports of examples/demo and stops the processes that
+# it started.
 set -euo pipefail
 span=20
 mkdir -p out
--- a/internal/experiment/control/run.go
+++ b/internal/experiment/control/run.go
@@ -21,13 +21,13 @@
 	// Missed is the number of surviving VMs that had not removed it when the run ended.
 	Missed int
 	// FalseRemovals is the number of removals of live VMs.
-	Falsely int
+	FalseRemovals int
 	// Bytes is the mean number of bytes that a VM sent per second.
 	Bytes float64
 }
 
 // MeasureFailure kills one of n VMs and measures its removal by the others.
-func Die(n int, loss float64, seed uint64) Result {
+func MeasureFailure(n int, loss float64, seed uint64) Result {
 	f := newFleet(n, loss, seed)
 	f.start()
 	f.s.Run(warmUp)
@@ -37,9 +37,9 @@
 	f.dead[victim] = at
 	f.s.Run(measuredFor)
 	r := Result{
-		Detection: newHistogram(),
-		Falsely:   f.falseRemovals,
-		Bytes:     float64(f.bytes) / float64(n) / measuredFor.Seconds(),
+		Detection:     newHistogram(),
+		FalseRemovals: f.falseRemovals,
+		Bytes:         float64(f.bytes) / float64(n) / measuredFor.Seconds(),
 	}
 	for _, x := range f.vms {
 		if x.self.ID == victim {
@@ -66,7 +66,7 @@
 	group.SetLimit(parallel)
 	for i := range seeds {
 		group.Go(func() error {
-			all[i] = Die(n, loss, uint64(i+1))
+			all[i] = MeasureFailure(n, loss, uint64(i+1))
 			return nil
 		})
 	}
@@ -75,7 +75,7 @@
 	for _, r := range all {
 		sum.Detection.Merge(r.Detection)
 		sum.Missed += r.Missed
-		sum.Falsely += r.Falsely
+		sum.FalseRemovals += r.FalseRemovals
 		sum.Bytes += r.Bytes / float64(seeds)
 	}
 	return sum
@@ -96,7 +96,7 @@
 			r := measureSeeds(size.n, loss, size.seeds, parallel)
 			table.Add(size.n, report.Percent(loss), size.seeds, seconds(r.Detection.ValueAtQuantile(50)),
 				seconds(r.Detection.ValueAtQuantile(99)), seconds(r.Detection.Max()),
-				r.Missed, r.Falsely, fmt.Sprintf("%.1f KB/s", r.Bytes/1000))
+				r.Missed, r.FalseRemovals, fmt.Sprintf("%.1f KB/s", r.Bytes/1000))
 		}
 	}
 	return table.Print(out)
--- a/internal/experiment/load/tally.go
+++ b/internal/experiment/load/tally.go
@@ -24,8 +24,8 @@
 	// retries, and Attempts the number of statements sent to the target during it.
 	Requests, Attempts int
 	// Failed is the number of submissions that were not served in time.
-	GivenUp int
-	runs    int
+	Failed int
+	runs   int
 }
 
 func newTally() *Tally {
@@ -67,7 +67,7 @@
 func (t *Tally) add(o *Tally) {
 	t.Requests += o.Requests
 	t.Attempts += o.Attempts
-	t.GivenUp += o.GivenUp
+	t.Failed += o.Failed
 	t.runs += o.runs
 	for c := range t.Classes {
 		x, y := &t.Classes[c], &o.Classes[c]
--- a/internal/experiment/load/world.go
+++ b/internal/experiment/load/world.go
@@ -195,7 +195,7 @@
 		return
 	}
 	r.finished = true
-	w.tally.GivenUp++
+	w.tally.Failed++
 	if !w.shape.outage || r.submissions >= maxSubmissions || w.rnd.Float64() >= retryProbability {
 		return
 	}
--- a/internal/experiment/reads/attempt.go
+++ b/internal/experiment/reads/attempt.go
@@ -77,7 +77,7 @@
 		a.w.tally.Stale++
 	}
 	if a.w.position(id).LSN < a.floor.LSN {
-		a.w.tally.Unread++
+		a.w.tally.OwnWritesMissed++
 	}
 }
 
--- a/internal/experiment/reads/reads_test.go
+++ b/internal/experiment/reads/reads_test.go
@@ -20,10 +20,10 @@
 	for _, sc := range []Scenario{behind, cutOff} {
 		got := run(sc)
 		require.Zero(t, got.Stale, sc.Name)
-		require.Zero(t, got.Unread, sc.Name)
+		require.Zero(t, got.OwnWritesMissed, sc.Name)
 	}
 	require.Positive(t, run(behind, routing.GuardAge).Stale)
-	require.Positive(t, run(behind, routing.GuardFloor).Unread)
+	require.Positive(t, run(behind, routing.GuardFloor).OwnWritesMissed)
 	require.Positive(t, run(cutOff, routing.GuardWitness).Stale)
 }
 
--- a/internal/experiment/reads/run.go
+++ b/internal/experiment/reads/run.go
@@ -107,7 +107,7 @@
 	t.ByPrimary += o.ByPrimary
 	t.Failed += o.Failed
 	t.Stale += o.Stale
-	t.Unread += o.Unread
+	t.OwnWritesMissed += o.OwnWritesMissed
 	t.Writes += o.Writes
 	t.ReadLatency.Merge(o.ReadLatency)
 	t.WriteLatency.Merge(o.WriteLatency)
@@ -135,7 +135,7 @@
 		for _, p := range Policies() {
 			t := RunSeeds(sc, Setup{Policy: p, Lag: Typical}, seeds, parallel)
 			table.Add(p.Name(), report.Percent(t.Share()), report.Percent(t.failedShare()),
-				t.Stale, t.Unread,
+				t.Stale, t.OwnWritesMissed,
 				quantile(t.ReadLatency, 50), quantile(t.ReadLatency, 95), quantile(t.ReadLatency, 99),
 				quantile(t.WriteLatency, 99), report.Percent(t.PrimaryBusy))
 		}
--- a/internal/experiment/reads/world.go
+++ b/internal/experiment/reads/world.go
@@ -85,10 +85,10 @@
 	Failed int
 	// Stale is the number of reads whose data was older than MaxAge when they were routed.
 	// OwnWritesMissed is the number of reads that lacked the session's own write.
-	Stale, Unread int
-	Writes        int
-	ReadLatency   *hdrhistogram.Histogram
-	WriteLatency  *hdrhistogram.Histogram
+	Stale, OwnWritesMissed int
+	Writes                 int
+	ReadLatency            *hdrhistogram.Histogram
+	WriteLatency           *hdrhistogram.Histogram
 	// PrimaryBusy is the mean share of the primary's slots in use.
 	PrimaryBusy float64
 }
