--- a/gossip/gossippb/gossip.twirp.go
+++ b/gossip/gossippb/gossip.twirp.go
@@ -32,14 +32,16 @@
 // ================
 
 type Gossip interface {
-	// Pull returns what the receiver knows beyond the versions in the request.
+	// Pull returns the part of the receiver's state that is newer than the versions in
+	// the request.
 	Pull(context.Context, *PullRequest) (*PullReply, error)
 
-	// Revoke ends the receiver's permission to take a service's primary for
-	// unchanged without asking, before that primary is replaced.
+	// Revoke ends the receiver's read permission for a service before the service's
+	// primary is replaced: the receiver no longer assumes that primary unchanged
+	// without a query.
 	Revoke(context.Context, *RevokeRequest) (*RevokeReply, error)
 
-	// Read returns a range of what a reply has offered as a bulk.
+	// Read returns a range of a bulk that a reply has offered.
 	Read(context.Context, *ReadRequest) (*ReadReply, error)
 }
 
