--- a/relay/relaypb/relay.twirp.go
+++ b/relay/relaypb/relay.twirp.go
@@ -38,13 +38,14 @@
 	// Open opens a transaction, which holds a connection until it has ended.
 	Open(context.Context, *OpenRequest) (*OpenReply, error)
 
-	// Ask carries one of the fleet's own questions or orders to a target.
+	// Ask sends one of the fleet's own status queries or commands to a target.
 	Ask(context.Context, *AskRequest) (*AskReply, error)
 
-	// Draw asks an owner of a workspace's limit for tokens.
+	// Draw requests tokens from an owner of a workspace's limit.
 	Draw(context.Context, *DrawRequest) (*DrawReply, error)
 
-	// End leaves a transaction that has not ended by itself: nothing is kept.
+	// End abandons a transaction that has not ended by itself: none of its changes are
+	// kept.
 	End(context.Context, *EndRequest) (*EndReply, error)
 }
 
