--- a/peer/peerpb/peer.twirp.go
+++ b/peer/peerpb/peer.twirp.go
@@ -33,13 +33,14 @@
 
 // Peer is served by every daemon to every other, over mutual TLS.
 type Peer interface {
-	// Exchange pushes what the sender knows and pulls what the receiver knows.
+	// Exchange pushes the sender's state and pulls the receiver's.
 	Exchange(context.Context, *ExchangeRequest) (*ExchangeReply, error)
 
-	// Observe asks for the receiver's evidence of one group's servers.
+	// Observe requests the receiver's evidence of one group's servers.
 	Observe(context.Context, *ObserveRequest) (*ObserveReply, error)
 
-	// Cancel forwards a caller's cancel request to the daemon that runs it.
+	// Cancel forwards a caller's cancel request to the daemon that runs the request to
+	// be canceled.
 	Cancel(context.Context, *CancelRequest) (*CancelReply, error)
 }
 
