--- a/examples/fleet.sh
+++ b/examples/fleet.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Starts a fleet of any size as processes on loopback and measures it. It stops
-# only what it started.
+# Starts a fleet of any size as processes on loopback and measures it. Stops only
+# the processes that it started.
 #
-#   examples/fleet.sh spread DAEMONS GROUPS    how a configuration spreads, also in an outage
-#   examples/fleet.sh control DAEMONS GROUPS   what idle daemons cost
+#   examples/fleet.sh spread DAEMONS GROUPS    measures how a configuration spreads, also in an outage
+#   examples/fleet.sh control DAEMONS GROUPS   measures the resource use of idle daemons
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mode=$1 daemons=$2 groups=$3
@@ -32,7 +32,7 @@
   exit 1
 }
 
-# A process that could not listen (a port is taken by another run) has ended.
+# Exits if a process has ended, for example because another run uses its port.
 check() {
   for name in "${!pids[@]}"; do
     kill -0 "${pids[$name]}" 2>/dev/null || { echo "$name ended:" >&2; tail -n 3 "$work/$name.log" >&2; exit 1; }
@@ -64,7 +64,7 @@
 case "$mode" in
 spread)
   "$bin/endivemoor-load" spread --admins "$admins" --platform "$platform" --profiles examples/demo/profiles.ini --outage "$@"
-  # The store stays down. Every third daemon dies and comes back with nothing.
+  # The store stays down. Every third daemon is killed and restarts without any state.
   generation=$(ctl --daemon "http://$admin" --output json fleet status | sed -n 's/^ *"generation": *\([0-9]*\).*/\1/p' | sort -n | tail -1)
   again=()
   for ini in "$conf"/proxy*.ini; do
--- a/examples/lines.sh
+++ b/examples/lines.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Starts the users' platform as a stand-in on loopback and three daemons in
-# front of it, and plays the main job over the statement protocol. It stops
-# only what it started.
+# Starts a stand-in for the users' platform on loopback and three daemons in
+# front of it, and runs the main job over the statement protocol. Stops only the
+# processes that it started.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=./bin
@@ -18,7 +18,7 @@
 "$bin/standin" lines --port "$port" --dir "$work" >"$work/standin.log" 2>&1 &
 pids+=("$!")
 for _ in $(seq 200); do [ -s "$work/standin.log" ] && break; sleep 0.05; done
-# A process that could not listen ends; its log names the port that is taken.
+# A process that cannot listen exits; its log names the port that is in use.
 check_running() { # pid, name
   kill -0 "$1" 2>/dev/null && return
   echo "$2 did not start:" >&2
--- a/examples/measure-control.sh
+++ b/examples/measure-control.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Measures what idle daemons spend on control against the number of daemons and
-# of groups, and fits lines. make measure-control runs it (about five minutes).
+# Measures the resources that idle daemons use for control, for several numbers of
+# daemons and of groups, and fits lines. Run it with make measure-control (about
+# five minutes).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 csv=$(mktemp "${TMPDIR:-/tmp}/endivemoor-control.XXXXXX.csv")
--- a/examples/measure-edge.sh
+++ b/examples/measure-edge.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Measures what idle daemons of the platform path cost: N daemons beside the
-# lines stand-in on loopback, for SECONDS. Prints processor time and resident
-# memory a daemon, and bytes on the loopback a daemon and second (all that the
-# daemons and the stand-in send, so an upper bound).
+# Measures the resource use of idle daemons of the platform path: N daemons beside
+# the lines stand-in on loopback, for SECONDS. Prints processor time and resident
+# memory per daemon, and bytes on the loopback per daemon and second (an upper
+# bound: all bytes that the daemons and the stand-in send).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 n="${1:-9}" seconds="${2:-20}" port="${PORT:-7600}"
--- a/examples/run.sh
+++ b/examples/run.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
 # Starts an example as separate processes on loopback: the stand-in platform,
-# every stand-in database server of its groups, and its daemons. It stops only
-# what it started.
+# every stand-in database server of its groups, and its daemons. Stops only the
+# processes that it started.
 #
-#   examples/run.sh demo play      plays the main job and stops
+#   examples/run.sh demo play      runs the main job and stops
 #   examples/run.sh demo bench     compares a daemon with the server behind it
-#   examples/run.sh demo gap ...   breaks the primary again and again under load
-#   examples/run.sh NAME stay      stays until interrupted (demo, skybridge, caledonian)
+#   examples/run.sh demo gap ...   injects faults into the primary repeatedly under load
+#   examples/run.sh NAME stay      runs until interrupted (demo, skybridge, caledonian)
 set -euo pipefail
 cd "$(dirname "$0")/.."
 example="${1:-demo}"
@@ -16,7 +16,7 @@
 work=$(mktemp -d "${TMPDIR:-/tmp}/endivemoor-$example.XXXXXX")
 pids=()
 . "$conf/run.env"
-if [ "$mode" = bench ]; then # the servers must not be what limits a thousand callers
+if [ "$mode" = bench ]; then # the servers must not limit a thousand callers
   connections=4000
   slots=64
 fi
@@ -68,8 +68,8 @@
 done
 await ctl --daemon "http://$admin" fleet status
 
-# A process that could not listen (a port is taken by another run) has ended by
-# now. Going on would mix two runs.
+# A process that cannot listen, because another run uses its port, has exited by
+# now. Continuing would mix two runs.
 for file in "$work"/*.pid; do
   kill -0 "$(cat "$file")" 2>/dev/null || {
     echo "$(basename "$file" .pid) did not start:" >&2
@@ -97,7 +97,7 @@
     --controls ledger-0-a=127.0.0.1:8411,ledger-0-b=127.0.0.1:8412,ledger-0-c=127.0.0.1:8413 "$@"
   ;;
 play)
-  # The operator's part: waits for the demo's signal, then publishes a change.
+  # Acts as the operator: waits for the demo's signal, then publishes a change.
   (
     while [ ! -e "$work/publish-now" ]; do sleep 0.05; done
     sed -i 's/^drain-grace.*/drain-grace = 4s/' "$work/profiles.ini"
