--- a/edge/breaker_test.go
+++ b/edge/breaker_test.go
@@ -11,7 +11,7 @@
 
 // Guards against: consumers that wait for their statement timeout at a VM that cannot serve them.
 // The VM is partitioned from the store, from its peers and from all targets except the old primary,
-// which is partitioned too and confirms nothing; another target confirmed writes by now. Consumers that are
+// which is partitioned too and confirms nothing; another target leads by now. Consumers that are
 // refused at once have time to be served by another VM.
 func TestVMThatCanServeNobodyRefusesAtOnce(t *testing.T) {
 	runFleet(t, 3, func(f *fleet) {
--- a/edge/leadership.go
+++ b/edge/leadership.go
@@ -36,8 +36,8 @@
 
 // write changes a record that has the known revision. If the reply is lost, write reads the record
 // back: the change may have been made, and may still be made later as long as the record has the
-// requested revision. A change that was made in a later era of the store than the era of the
-// revision is invalid.
+// requested revision. A change that was made in a later era of the store than the one in which it
+// was sent is invalid.
 func (r leadershipRecords) write(ctx context.Context, known *catalog.LeadershipRecord, spec leadershipRecord) (*catalog.LeadershipRecord, error) {
 	name := prefixLeadership + known.Service
 	spec.Era = r.edge.eras.current()
--- a/edge/watch.go
+++ b/edge/watch.go
@@ -22,9 +22,9 @@
 	// permissions are based on. It is below maxEvidenceAge.
 	fleetWait = 2 * time.Second
 	// watchFraction is the fraction of a bound that one watch call may wait. A change that a
-	// hanging watch has missed must still be in force within the bound, after objects.AnswerWithin
-	// and the list that follows, and the evidence from a call must reach all VMs before they start
-	// their own watches.
+	// hanging watch has missed must still be in force within the bound, after objects.FirstByteTimeout
+	// and the list that follows, and the evidence from a call must reach all VMs before they watch
+	// the list themselves.
 	watchFraction = 0.25
 	// callTimeout bounds a call to the store that changes or reads one small object.
 	callTimeout = 1200 * time.Millisecond
@@ -64,7 +64,7 @@
 // watch keeps the objects of one kind in sync with the store.
 type watch struct {
 	kind string
-	// short is the wait of one call of a designated watcher.
+	// short is the wait of one call while designated watchers do not cover the kind for this VM.
 	short time.Duration
 	// covered reports whether designated watchers cover the kind, so that calls may wait for
 	// watchWait.
--- a/groups/group.go
+++ b/groups/group.go
@@ -342,8 +342,9 @@
 // primary does not answer counts as its failure: a VM that has just started may never have reached
 // it, and would otherwise wait for it without end.
 //
-// Failure guarded against: every VM of a large fleet queries all targets of each service on its
-// first use, as when the fleet starts, although no other target claims to lead.
+// Failure guarded against: every VM of a large fleet queries all targets of each service that it
+// uses, when the fleet starts and each time the whole fleet has ended and starts again, as after a
+// power loss, although no other target claims to lead.
 func (g *Group) discover(first bool) {
 	if b := g.Leadership.Current(); first && b.Primary != "" && b.Term == 0 && !b.Contested {
 		go g.Probe(context.Background(), b.Primary, spending.Discovery, maxTermAge, statusTimeout)
--- a/groups/witness_test.go
+++ b/groups/witness_test.go
@@ -48,13 +48,13 @@
 
 // record is the store's leadership record, which counts how often it is read.
 type record struct {
-	reign catalog.LeadershipRecord
-	read  int
+	leadership catalog.LeadershipRecord
+	read       int
 }
 
 func (r *record) Current(context.Context, string) (*catalog.LeadershipRecord, error) {
 	r.read++
-	return &r.reign, nil
+	return &r.leadership, nil
 }
 
 // queriedTargets record which targets were queried, and answer nothing.
@@ -108,7 +108,7 @@
 func TestRecordOfReplacedPrimaryIsCached(t *testing.T) {
 	clk := newAtomicClock()
 	h := catalog.NewHolder()
-	r := &record{reign: catalog.LeadershipRecord{Service: "s", Revision: 9, Primary: "new"}}
+	r := &record{leadership: catalog.LeadershipRecord{Service: "s", Revision: 9, Primary: "new"}}
 	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Control: unresponsiveTargets{}, Records: r, Eligible: func() bool { return false }})
 	reg.Update(listing(h, 7, 10))
 	g := reg.Group("s")
@@ -121,7 +121,7 @@
 	require.ErrorIs(t, g.Prove(context.Background(), leadership.State{Primary: "q", Term: 4}, 0, clk.Now()), ErrSuperseded)
 	require.Equal(t, 2, r.read, "another state is looked up")
 
-	r.reign = catalog.LeadershipRecord{Service: "s", Revision: 12, Primary: "p"}
+	r.leadership = catalog.LeadershipRecord{Service: "s", Revision: 12, Primary: "p"}
 	clk.pass(replacedTTL)
 	require.NoError(t, g.Prove(context.Background(), b, 0, clk.Now()), "it leads again")
 }
@@ -130,13 +130,13 @@
 func TestRecordOfOpenAttemptIsCachedBriefly(t *testing.T) {
 	clk := newAtomicClock()
 	h := catalog.NewHolder()
-	r := &record{reign: catalog.LeadershipRecord{Service: "s", Revision: 9, Attempt: &catalog.Attempt{Deposed: "p"}}}
+	r := &record{leadership: catalog.LeadershipRecord{Service: "s", Revision: 9, Attempt: &catalog.Attempt{Deposed: "p"}}}
 	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Control: unresponsiveTargets{}, Records: r, Eligible: func() bool { return false }})
 	reg.Update(listing(h, 7, 10))
 	g := reg.Group("s")
 	b := leadership.State{Primary: "p", Term: 3}
 	require.ErrorIs(t, g.Prove(context.Background(), b, 0, clk.Now()), ErrSuperseded)
-	r.reign = catalog.LeadershipRecord{Service: "s", Revision: 10, Primary: "p"}
+	r.leadership = catalog.LeadershipRecord{Service: "s", Revision: 10, Primary: "p"}
 	clk.pass(replacingTTL)
 	require.NoError(t, g.Prove(context.Background(), b, 0, clk.Now()))
 }
@@ -146,16 +146,16 @@
 func TestRecordOfAnEarlierEraProvesNothing(t *testing.T) {
 	clk := newAtomicClock()
 	h := catalog.NewHolder()
-	r := &record{reign: catalog.LeadershipRecord{Service: "s", Revision: catalog.RevisionOf(2, 9), Era: 1, Primary: "p"}}
+	r := &record{leadership: catalog.LeadershipRecord{Service: "s", Revision: catalog.RevisionOf(2, 9), Era: 1, Primary: "p"}}
 	reg := NewRegistry(Config{Catalog: h, Clock: clk, Log: zap.NewNop(), Control: unresponsiveTargets{}, Records: r, Eligible: func() bool { return false },
 		Era: func() int64 { return 2 }})
 	reg.Update(listing(h, 7, 10))
 	g := reg.Group("s")
 	b := leadership.State{Primary: "p", Term: 3}
 	require.ErrorIs(t, g.Prove(context.Background(), b, 0, clk.Now()), ErrNoWitness)
-	r.reign = catalog.LeadershipRecord{Service: "s", Era: 1}
+	r.leadership = catalog.LeadershipRecord{Service: "s", Era: 1}
 	require.ErrorIs(t, g.Prove(context.Background(), b, 0, clk.Now()), ErrNoWitness, "a missing record")
-	r.reign = catalog.LeadershipRecord{Service: "s", Revision: catalog.RevisionOf(2, 12), Era: 2, Primary: "p"}
+	r.leadership = catalog.LeadershipRecord{Service: "s", Revision: catalog.RevisionOf(2, 12), Era: 2, Primary: "p"}
 	require.NoError(t, g.Prove(context.Background(), b, 0, clk.Now()))
 }
 
--- a/promoter/fence.go
+++ b/promoter/fence.go
@@ -28,8 +28,10 @@
 	return out
 }
 
-// awaitPermissionExpiry waits until every permission has expired that a VM may still have: no
-// witness confirms the old primary once the last target is paused.
+// awaitPermissionExpiry waits until every permission that a VM may still have has expired. Waiting
+// for takeover.Permission from the last pause is enough, because a permission counts from the time
+// at which its witness was queried, and no query sent after the last pause renews one: a paused
+// target is no witness, and the store's record shows the attempt.
 func (a *attempt) awaitPermissionExpiry(fenced clock.Time) {
 	left := takeover.Permission - a.p.cfg.Clock.Now().Sub(fenced)
 	a.p.cfg.Log.Info("permissions-waited-out", zap.String("service", a.g.Service), zap.Duration("for", left))
--- a/ratelimit/doc.go
+++ b/ratelimit/doc.go
@@ -15,9 +15,9 @@
 // unavailable. Tokens expire shortly after they were requested.
 //
 // Only the owners enforce the limit, so that no schedule of restarts, network partitions
-// and pauses elsewhere creates more tokens:
+// and suspensions elsewhere creates more tokens:
 //
-//   - A VM that is partitioned, paused or restarted has no tokens but those that an owner
+//   - A VM that is partitioned, suspended or restarted has no tokens but those that an owner
 //     granted to it, and they expire by a clock that counts while the VM is suspended.
 //   - An owner that restarts begins with an almost empty bucket, whatever the burst.
 //   - A VM that replaces an owner that is still alive waits until that owner has received
--- a/ratelimit/ratelimit_test.go
+++ b/ratelimit/ratelimit_test.go
@@ -255,7 +255,7 @@
 	return slices.ContainsFunc(vms, func(other catalog.VM) bool { return other.ID == vm.ID })
 }
 
-// Failure guarded against: some schedule of restarts, partitions, pauses, joins, lowered
+// Failure guarded against: some schedule of restarts, partitions, suspensions, joins, lowered
 // limits and floods lets more through than the limit.
 func TestLimitHoldsInAnySchedule(t *testing.T) {
 	for _, n := range []int{3, 76, 1000} {
--- a/recency/recency.go
+++ b/recency/recency.go
@@ -19,7 +19,7 @@
 // List identifies one of the lists that a VM holds copies of.
 type List uint8
 
-// The listCount.
+// The lists.
 const (
 	// Config is the operator's configuration.
 	Config List = iota
--- a/recency/recency_test.go
+++ b/recency/recency_test.go
@@ -24,7 +24,7 @@
 	require.Equal(t, 8*time.Second, b.Age(Config, 14, 9*second), "this VM does not have version 16 yet")
 	require.Equal(t, 4*time.Second, b.Age(Config, 16, 9*second), "this VM now has version 16")
 	b.Record(Config, Confirmation{Version: 14, At: 6 * second})
-	require.Equal(t, 3*time.Second, b.Age(Config, 16, 9*second), "the store had version 14 later, so version 16 cannot be older than that evidence")
+	require.Equal(t, 3*time.Second, b.Age(Config, 16, 9*second), "version 14 was the store's at a later time, so version 16 was not outdated then either")
 }
 
 // Guards against: evidence that gets older, or is newer than every confirmation that matches the
--- a/takeover/takeover.go
+++ b/takeover/takeover.go
@@ -24,8 +24,8 @@
 	SettlePeriod = 3500 * time.Millisecond
 	// Permission is how long after a witness was queried a VM may still assume that the primary is
 	// unchanged, without a query of its own. An attempt waits this time after its fences, unless
-	// every VM of the fleet has given up its permission. Requests of the VM itself and of its peers
-	// renew the witness about every 300 ms.
+	// every VM of the fleet has given up its permission. The VM's own requests and its peers renew
+	// the witness about every 300 ms.
 	Permission = 500 * time.Millisecond
 	// UnresponsiveAfter is how long a primary must have failed to answer requests and status
 	// queries. Three queries of 100 ms fit into it, and the primary works off a full queue of
