--- a/groups/witness.go
+++ b/groups/witness.go
@@ -308,8 +308,8 @@
 	return err
 }
 
-// replicasUnresponsive reports whether the replicas failed to provide a witness in time at the last
-// renewal.
+// replicasUnresponsive reports whether the replicas failed to provide a witness in time, and no
+// check of them has succeeded since.
 func (g *Group) replicasUnresponsive() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/promoter/abandoned.go
+++ b/promoter/abandoned.go
@@ -17,10 +17,10 @@
 // abandoned reports whether an attempt is recorded that its holder has left open, so that its
 // remains may be cleaned up.
 //
-// Failure guarded against: a command of the dead holder is still on its way. A replica that was
-// resumed confirms the old primary's commits, and the promotion of the other replica then loses
-// them. So while the target that was to be replaced leads, the whole of ExpireAfter has to pass,
-// even if an earlier process of this VM was the holder.
+// Failure guarded against: the dead holder's call to promote a replica is still on its way. Another
+// replica that was resumed confirms the old primary's commits, and the promotion then loses them.
+// So while the target that was to be replaced leads, the whole of ExpireAfter has to pass, even if
+// an earlier process of this VM was the holder.
 func (p *Promoter) abandoned(r *catalog.LeadershipRecord, w *serviceState, leads target.ID, now clock.Time) bool {
 	if r.Attempt == nil {
 		return outdated(r) && now.Sub(w.revisionSeen) >= takeover.ExpireAfter
--- a/promoter/attempt.go
+++ b/promoter/attempt.go
@@ -222,7 +222,8 @@
 }
 
 // restored reports whether the store was restored from an older copy since the attempt was
-// recorded. Another VM may then begin an attempt, so that this one may not send any command.
+// recorded. Another VM may then begin an attempt, so that this one may not order a promotion any
+// more.
 func (a *attempt) restored() bool { return a.p.cfg.Era() != catalog.EraOf(a.held.Revision) }
 
 // ErrNotRunning is returned by a Designator if the target is not running: the call was refused
--- a/promoter/guards_test.go
+++ b/promoter/guards_test.go
@@ -113,8 +113,8 @@
 	require.False(t, p.otherAttempt(&catalog.LeadershipRecord{Service: "s", Revision: 10, Holder: "vm1"}, w, start.Add(takeover.SettlePeriod)), "its own attempts need no settle period")
 }
 
-// The holder of an attempt dies. Others must not act while it may still send commands, and must not
-// wait without end.
+// The holder of an attempt dies. Others must not act while it may still order a promotion, and must
+// not wait without end.
 func TestAttemptOfDeadHolderExpires(t *testing.T) {
 	p := New(Config{Node: "vm1", Clock: fixedClock{}, Log: zap.NewNop()})
 	w := &serviceState{}
--- a/takeover/takeover.go
+++ b/takeover/takeover.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// CommandLimit is how long after it was recorded an attempt may send commands.
+	// CommandLimit is how long after it was recorded an attempt may order a promotion.
 	CommandLimit = 2500 * time.Millisecond
 	// ExpireAfter is how long other VMs must see an attempt unchanged before they consider its
 	// holder dead. It exceeds CommandLimit by the longest time that a call may take to arrive.
--- a/takeover/takeover_test.go
+++ b/takeover/takeover_test.go
@@ -107,8 +107,8 @@
 	require.LessOrEqual(t, StaggerDelay("ledger", "other", append(vms, make([]string, 1000)...)), maxStaggerSteps*StaggerInterval)
 }
 
-// Safety depends on these relations: a command must have arrived before other VMs may act, and a
-// permission must have expired within an attempt's time.
+// Safety depends on these relations: a call to promote a target must have arrived before other VMs
+// may act, and a permission must have expired within an attempt's time.
 func TestTimeLimitsAreConsistent(t *testing.T) {
 	require.Greater(t, ExpireAfter, CommandLimit+2*time.Second)
 	require.Less(t, Permission, CommandLimit/2)
