--- a/takeover/takeover.go
+++ b/takeover/takeover.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// CommandLimit is how long after it was recorded an attempt may send commands.
+	// CommandLimit is how long after it was recorded an attempt may order a promotion.
 	CommandLimit = 2500 * time.Millisecond
 	// ExpireAfter is how long other VMs must see an attempt unchanged before they consider its
 	// holder dead. It exceeds CommandLimit by the longest time that a call may take to arrive.
@@ -24,8 +24,8 @@
 	SettlePeriod = 3500 * time.Millisecond
 	// Permission is how long after a witness was queried a VM may still assume that the primary is
 	// unchanged, without a query of its own. An attempt waits this time after its fences, unless
-	// every VM of the fleet has given up its permission. Requests of the VM itself and of its peers
-	// renew the witness about every 300 ms.
+	// every VM of the fleet has given up its permission. The VM's own requests and its peers renew
+	// the witness about every 300 ms.
 	Permission = 500 * time.Millisecond
 	// UnresponsiveAfter is how long a primary must have failed to answer requests and status
 	// queries. Three queries of 100 ms fit into it, and the primary works off a full queue of
