--- a/engine/single.go
+++ b/engine/single.go
@@ -26,7 +26,8 @@
 	// triesAtOnce is the number of targets at which a read is tried without a pause: all three of a
 	// service.
 	triesAtOnce = 3
-	// maxTries bounds the tries of a read that the target reports as failed.
+	// maxTries is the number of tries, with any result, from which a read that a target answers
+	// with Failed is not tried again. It does not limit tries with other results.
 	maxTries = 6
 	// writeTimeout is how long a write may take before its answer counts as lost: its own time, a
 	// full queue, and the acknowledgement of a replica. A longer wait gives the consumer no more
--- a/engine/try.go
+++ b/engine/try.go
@@ -26,13 +26,13 @@
 	retryable
 	// lostAnswer: the statement was sent and no complete answer was received.
 	lostAnswer
-	// unsent: no connection was available.
+	// unsent: no connection was available, or the session's state could not be set on it.
 	unsent
 	// saturated: the target has too many requests to serve this one in time.
 	saturated
 )
 
-// tryTimeout returns the time-out of one try at a target.
+// tryTimeout returns the timeout of one try at a target.
 func (s *Session) tryTimeout(id target.ID) time.Duration {
 	return s.engine.cfg.Placing.TryTimeout(id, s.engine.cfg.Clock.Now())
 }
--- a/engine/work.go
+++ b/engine/work.go
@@ -11,7 +11,7 @@
 	"endivemoor.example/endivemoor/statement"
 )
 
-// minTimeout is the time-out of a statement whose route sets none.
+// minTimeout is the timeout of a statement whose route sets none.
 const minTimeout = 2 * time.Second
 
 // work is a statement that is being served.
--- a/lane/conn.go
+++ b/lane/conn.go
@@ -26,8 +26,8 @@
 	values    map[string]string
 	prepared  map[shape]string
 	named     int
-	// forControl is set if the connection was opened for a control command. Where connections are
-	// lent, it is closed after the command: every VM sends commands from time to time, and
+	// forControl is set if the connection was opened for a control command. Where this VM's share
+	// is temporary, it is closed after the command: every VM sends commands from time to time, and
 	// connections retained in between would be unavailable to the VMs that serve requests.
 	forControl   bool
 	idle         clock.Time
--- a/lane/dial.go
+++ b/lane/dial.go
@@ -11,12 +11,12 @@
 	"endivemoor.example/endivemoor/statement"
 )
 
-// unreachable reports whether a request should fail instead of waiting for a connection: the last
-// dial failed, and either the pause before the next one has not ended or another request's dial is
-// in progress.
+// unreachable reports whether a request should fail instead of waiting for a connection: the lane
+// has none, the target could not be reached, and either the pause before the next dial has not
+// ended or another request's dial is in progress.
 //
 // Failure guarded against: a target is behind a partition, where connecting hangs until its
-// time-out. Every request that arrived in the meantime would wait for it, time after time, though
+// timeout. Every request that arrived in the meantime would wait for it, time after time, though
 // a read could go elsewhere at once.
 func (l *Lane) unreachable(now clock.Time) bool {
 	return l.open == 0 && l.downCause != nil && (l.dialing > 0 || now.Before(l.downUntil))
--- a/lane/lane.go
+++ b/lane/lane.go
@@ -21,12 +21,12 @@
 	// overdue connections. The target's refusal is the limit that counts.
 	burst = 1
 	// burstIdleTimeout is how long a connection beyond the retained ones may be idle. With a much
-	// shorter time-out it would soon have to be opened again.
+	// shorter timeout it would soon have to be opened again.
 	burstIdleTimeout = 500 * time.Millisecond
-	// lentIdleTimeout is how long any connection may be idle where the target accepts fewer than
+	// temporaryIdleTimeout is how long any connection may be idle where the target accepts fewer than
 	// one per VM. While one VM retains a connection, another lacks it and its requests are refused,
 	// and opening one takes a few milliseconds only.
-	lentIdleTimeout = 100 * time.Millisecond
+	temporaryIdleTimeout = 100 * time.Millisecond
 	// refusedPause is how long a lane opens no connection after the target has refused one because
 	// it has too many, and refusedPauseWithoutConns how long if the lane has none at all. Without
 	// the pause every waiting request would be refused again, and each try takes one of the
@@ -94,7 +94,7 @@
 	mu           sync.Mutex
 	allowance    int
 	minOpen      int  // how many stay open while idle
-	lent         bool // idle connections are not retained
+	temporary    bool // idle connections are not retained
 	idle         []*Conn
 	open         int
 	openFor      map[string]int // by workspace
@@ -160,7 +160,7 @@
 // errClosed reports that a lane was removed from its Pool.
 var errClosed = errors.New("the lane is closed")
 
-// Acquire returns a connection, waiting until the time-out at most. The error is an
+// Acquire returns a connection, waiting until the timeout at most. The error is an
 // *UnavailableError, or errClosed.
 func (l *Lane) Acquire(ctx context.Context, o AcquireOptions, timeout time.Duration) (*Conn, error) {
 	l.mu.Lock()
@@ -277,8 +277,8 @@
 
 // mayClose reports whether a connection that has been idle for the given time should be closed.
 func (l *Lane) mayClose(idle time.Duration) bool {
-	if l.lent {
-		return idle > lentIdleTimeout
+	if l.temporary {
+		return idle > temporaryIdleTimeout
 	}
 	return l.open > l.minOpen && idle > burstIdleTimeout
 }
@@ -288,7 +288,7 @@
 func (l *Lane) setShare(s gateways.Share) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.allowance, l.minOpen, l.lent, l.maxRunning = s.MaxOpen, s.MaxIdle, s.Temporary, s.MaxRunning
+	l.allowance, l.minOpen, l.temporary, l.maxRunning = s.MaxOpen, s.MaxIdle, s.Temporary, s.MaxRunning
 	l.waiting.detectsLate = s.MaxRunning > 0
 }
 
--- a/lane/lane_test.go
+++ b/lane/lane_test.go
@@ -256,7 +256,7 @@
 		acquire(t, l).Release()
 		links, _ := d.links()
 		require.Len(t, links, 1, "requests that follow each other share one")
-		time.Sleep(2 * lentIdleTimeout)
+		time.Sleep(2 * temporaryIdleTimeout)
 		l.maintain()
 		require.True(t, links[0].closed.Load())
 		l.setShare(gateways.Share{MaxOpen: 1, MaxIdle: 1})
@@ -306,7 +306,7 @@
 
 // A target is removed from the catalog. Its connections must be closed, those in use as soon as
 // they are released, and waiting requests must fail.
-func TestLaneOfALostTargetIsClosed(t *testing.T) {
+func TestLaneOfARemovedTargetIsClosed(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := &dialer{limit: 1}
 		p := NewPool(monotonic.New(), func(*catalog.Target) Dialer { return d.dial })
--- a/lane/queue.go
+++ b/lane/queue.go
@@ -75,7 +75,7 @@
 }
 
 // starvedAfter is how long no late request must have been served for the target to count as
-// overloaded. A shorter burst, compared with the objectives of 150 to 500 ms, passes by itself.
+// overloaded. A burst that is short compared with the objectives of 150 to 500 ms passes by itself.
 const starvedAfter = 250 * time.Millisecond
 
 // ahead returns the number of waiting requests that take precedence over a request.
@@ -147,7 +147,8 @@
 	return out
 }
 
-// shedLate removes and returns the late requests if the target is overloaded.
+// shedLate removes and returns the late requests if the target is overloaded. It also detects the
+// start of an overload.
 func (q *queue) shedLate(now clock.Time) []*waiter {
 	if q.late.Len() > 0 && now.Sub(q.lateServed) > starvedAfter {
 		q.setOverloaded(true)
--- a/lane/serve.go
+++ b/lane/serve.go
@@ -17,7 +17,7 @@
 		l.drop(c)
 		return
 	}
-	if l.lent && c.forControl && l.waiting.Len()+l.controlQueue.Len() == 0 {
+	if l.temporary && c.forControl && l.waiting.Len()+l.controlQueue.Len() == 0 {
 		l.drop(c)
 		return
 	}
--- a/placing/placing.go
+++ b/placing/placing.go
@@ -96,17 +96,17 @@
 
 const (
 	// The answer to a try counts as lost after tryTimeoutFactor times the recent latency, within
-	// these bounds. The lower bound is above 220 ms, the longest time of a read on the users'
-	// sheets. Under overload the latency, and with it the time-out, grows before answers count as
-	// lost.
+	// these bounds. The lower bound is above 220 ms, the longest response time of a read in the
+	// deployments' data sheets. Under overload the latency, and with it the timeout, grows before
+	// answers count as lost.
 	tryTimeoutFactor = 8
 	minTryTimeout    = 250 * time.Millisecond
 	maxTryTimeout    = 600 * time.Millisecond
 )
 
-// TryTimeout returns the time-out of one try at a target while the statement can still be retried.
+// TryTimeout returns the timeout of one try at a target while the statement can still be retried.
 // Without it, a lost answer would block its consumer and a connection until the statement's own
-// time-out.
+// timeout.
 func (t *Tracker) TryTimeout(id target.ID, now clock.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -164,7 +164,7 @@
 // Choose returns the index of the best candidate, or -1 if there is none. Only is set if every
 // other candidate is a last resort.
 //
-// A read that has another choice leaves the queue for a target after the try time-out and tries the
+// A read that has another choice leaves the queue for a target after the try timeout and tries the
 // other one. Where there is none, such as when both replicas lag, leaving the queue would only lose
 // the read its place.
 func (t *Tracker) Choose(now clock.Time, candidates []Candidate) (best int, only bool) {
--- a/placing/placing_test.go
+++ b/placing/placing_test.go
@@ -59,7 +59,7 @@
 	require.Equal(t, target.ID("x"), pick(b, at(2001), x, y))
 }
 
-// Failure guarded against: under overload answers take longer, a constant time-out expires before
+// Failure guarded against: under overload answers take longer, a constant timeout expires before
 // all of them, and each read is sent again, which doubles the load.
 func TestTryTimeoutGrowsWithTheLatency(t *testing.T) {
 	b := NewTracker()
@@ -98,7 +98,7 @@
 }
 
 // Failure guarded against: both replicas of a service are seconds behind, the primary has a queue,
-// and a read that leaves the queue after the try time-out to try the replicas again loses its place
+// and a read that leaves the queue after the try timeout to try the replicas again loses its place
 // each time and is never served.
 func TestPrimaryIsTheOnlyChoiceWhileReplicasLag(t *testing.T) {
 	b := NewTracker()
