--- a/gossip/convert.go
+++ b/gossip/convert.go
@@ -117,8 +117,8 @@
 	n.Unreachable[peer] = at
 }
 
-// setFleet sets the fleet's list, or applies the change of it. The leadership records have
-// revisions of their own, whichever list they arrive with.
+// setFleet sets the fleet's list, or applies the change of it. A leadership record is
+// compared by its own revision, whichever list it arrives with.
 func (n *Update) setFleet(in *gossippb.Fleet, known *catalog.Catalog) {
 	n.Fleet = fleet(in)
 	if in.GetFrom() == 0 {
--- a/membership/machine_test.go
+++ b/membership/machine_test.go
@@ -144,7 +144,7 @@
 	require.Contains(t, ids(m.Live()), "vm-0001")
 }
 
-func TestLeavingVMGivesItsWorkAwayAtOnce(t *testing.T) {
+func TestLeavingVMIsNotLive(t *testing.T) {
 	m := newMachine(0)
 	m.Step(1, listOf(1, 2))
 	require.Contains(t, m.Step(2, Leave{}), Changed{})
@@ -221,7 +221,7 @@
 	a.Step(now, Exchanged{From: b.Self(), Others: b.Records(now)})
 }
 
-func TestFleetAgreesOnWhoDied(t *testing.T) {
+func TestFleetAgreesOnDeadVMs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(5, 20).Draw(t, "vms")
 		dead := rapid.IntRange(0, n-1).Draw(t, "dead")
--- a/membership/member.go
+++ b/membership/member.go
@@ -24,8 +24,8 @@
 	leaving, listLeaving bool
 	// listed is set if the VM is on the current list, wasListed if it ever was on one.
 	listed, wasListed bool
-	// live is set if the VM is considered live. dead is set from when it lost that state until it has
-	// settled again, for which it has been free of suspicion since settlingSince.
+	// live is set if the VM is considered live. dead is set if the evidence does not support that, and
+	// stays set until the VM has settled again: it has been free of suspicion since settlingSince.
 	live, dead    bool
 	settlingSince clock.Time
 	// firstSeen is when the member was added.
--- a/relay/router.go
+++ b/relay/router.go
@@ -262,11 +262,11 @@
 	return err
 }
 
-// timeLeft is the time that a gateway gets: its reply, including one that reports a failure, must
-// arrive before the context's deadline.
+// timeLeft returns the time that a gateway gets: its reply, including one that reports a failure,
+// must arrive before the context's deadline.
 //
-// Failure guarded against: a statement waits for a connection until its deadline, and the late reply
-// makes it count as lost. A write that was certainly not sent is then reported as in doubt.
+// Failure guarded against: a statement waits for a connection until its deadline, and the late
+// reply makes it count as lost. A write that was certainly not sent is then reported as in doubt.
 func timeLeft(ctx context.Context) time.Duration {
 	d, ok := ctx.Deadline()
 	if !ok {
--- a/relay/statuses_test.go
+++ b/relay/statuses_test.go
@@ -91,7 +91,7 @@
 		require.Equal(t, 3, k.count())
 		_, age, err := s.Recent(context.Background(), "t", 2*answerTime, time.Second)
 		require.NoError(t, err)
-		require.Equal(t, answerTime+time.Millisecond, age, "since the latest question was sent")
+		require.Equal(t, answerTime+time.Millisecond, age, "since the latest query was sent")
 		time.Sleep(answerTime)
 		_, age, err = s.Recent(context.Background(), "t", answerTime, time.Second)
 		require.NoError(t, err)
