--- a/ack/pace_test.go
+++ b/ack/pace_test.go
@@ -9,7 +9,7 @@
 
 // Replicas lag by 20 ms. A write must be confirmed soon after that, without hundreds of status
 // queries to the replicas for each write.
-func TestPaceAsksAroundTheExpectedLag(t *testing.T) {
+func TestPaceQueriesAroundTheExpectedLag(t *testing.T) {
 	var p Pace
 	p.RecordLag(20 * time.Millisecond)
 	waited, queries := time.Duration(0), 0
--- a/failover/attempt.go
+++ b/failover/attempt.go
@@ -20,7 +20,7 @@
 	fenced     map[target.ID]target.Status
 	commandAt  map[target.ID]clock.Time // when an unanswered command is repeated
 
-	candidate  target.ID  // empty until a majority has promised the term the term
+	candidate  target.ID  // empty until a majority has promised the term
 	promisedAt clock.Time // when a majority had promised the term; 0 before
 	chosenAt   clock.Time
 }
@@ -346,7 +346,7 @@
 	}
 }
 
-func (m *Machine) onRelieve(ev HandoverRequested) {
+func (m *Machine) onHandoverRequested(ev HandoverRequested) {
 	if ev.Server == m.group.Primary {
 		m.handoverFrom = ev.Server
 	}
--- a/failover/machine.go
+++ b/failover/machine.go
@@ -78,7 +78,7 @@
 	store   storeState
 	terms   termBlock
 	attempt *attempt
-	retryAt clock.Time // no attempt starts before this time this time
+	retryAt clock.Time // no attempt starts before this time
 	backoff time.Duration
 }
 
@@ -140,7 +140,7 @@
 	case FollowAnswered:
 		m.onFollowAnswered(ev)
 	case HandoverRequested:
-		m.onRelieve(ev)
+		m.onHandoverRequested(ev)
 	}
 }
 
--- a/failover/reserve.go
+++ b/failover/reserve.go
@@ -17,7 +17,7 @@
 	down    bool          // the newest call was not answered
 	pending pendingWrite
 	readAt  clock.Time // when ReadGroup is due; 0 if it is not
-	retryAt clock.Time // no write starts before this time this time
+	retryAt clock.Time // no write starts before this time
 
 	announceAt clock.Time // when an unpublished promotion is announced again
 }
@@ -260,8 +260,9 @@
 	m.record(Entry{Step: StepReserved, Term: g.Reserved})
 }
 
-// learnFromPeer accepts a promotion that a peer announced and that the store may not have yet. An
-// announcement of a term that is not newer is ignored, including its list of servers.
+// learnFromPeer accepts a promotion that a peer announced and that the store may not have yet. Once
+// the group is known, an announcement of a term that is not newer is ignored, including its list of
+// servers.
 func (m *Machine) learnFromPeer(g view.Group) {
 	if m.phase == PhaseLearning || g.Term > m.group.Term {
 		m.learnGroup(g)
