--- a/filter/retry_test.go
+++ b/filter/retry_test.go
@@ -165,7 +165,7 @@
 	require.NoError(t, c.Wait(context.Background(), old, time.Hour), "the view has already changed")
 }
 
-func TestBounderRefusesAtOnce(t *testing.T) {
+func TestQueueLimiterRefusesAtOnce(t *testing.T) {
 	b := newRetryFixture(retry.Config{})
 	r := b.request(request.Terms{}, time.Hour)
 	r.Session.Profile.MaxQueued = 1
--- a/proxy/commit.go
+++ b/proxy/commit.go
@@ -90,8 +90,8 @@
 //
 // Failure guarded against: between the commit and the status query the primary is superseded,
 // rewound and made to follow the new primary. Its log then has a different end, and its position
-// does not cover the commit. Only a status of the same term from a primary counts; otherwise the
-// outcome is unknown. The same applies to a request sent to a replica that has since become a
+// says nothing about the commit. Only a status of the same term from a primary counts; otherwise
+// the outcome is unknown. The same applies to a request sent to a replica that has since become a
 // primary; a server that is still a replica committed nothing.
 func (u *unit) recordPosition() *filter.Failure {
 	st, err := u.status.status()
--- a/proxy/guards_test.go
+++ b/proxy/guards_test.go
@@ -17,9 +17,9 @@
 	"endivemoor.example/endivemoor/pool"
 )
 
-// Each checker causes the failure that a guard prevents, and compares what the callers were told
-// with what the target recorded. With the guard the result is empty; without it the checker must
-// find the breach.
+// guardCheckers holds a checker for each guard. It causes the failure that the guard prevents, and
+// compares the answers that the callers received with what the target recorded. With the guard the
+// result is empty; without it the checker must find the breach.
 var guardCheckers = map[guard.Name]func(t *testing.T, g guard.Set) string{
 	filter.GuardGate:  checkGate,
 	filter.GuardFloor: checkFloor,
@@ -53,7 +53,7 @@
 	return startProxy(t, cl, func(c *Config) { c.Guards = g })
 }
 
-// A commit without proof is reported as done.
+// checkGate looks for a commit without proof that is reported as done.
 func checkGate(t *testing.T, g guard.Set) string {
 	cl := startCluster(t, dbd.Options{})
 	c := guarded(t, cl, g).connect(t)
@@ -64,7 +64,8 @@
 	return ""
 }
 
-// A caller moves to another proxy without its token and reads from before its own write.
+// checkFloor looks for a caller that moves to another proxy without its token and reads from before
+// its own write.
 func checkFloor(t *testing.T, g guard.Set) string {
 	cl := startCluster(t, dbd.Options{})
 	r1, r2 := startProxy(t, cl), guarded(t, cl, g)
@@ -80,7 +81,7 @@
 	return ""
 }
 
-// A commit under another term than the request's is reported as done.
+// checkTerm looks for a commit under another term than the request's that is reported as done.
 func checkTerm(t *testing.T, g guard.Set) string {
 	cl := startCluster(t, dbd.Options{})
 	c := guarded(t, cl, g).connect(t)
@@ -93,7 +94,7 @@
 	return ""
 }
 
-// A payment whose answer is lost runs again.
+// checkKeyRow looks for a payment whose answer is lost and that runs again.
 func checkKeyRow(t *testing.T, g guard.Set) string {
 	cl := startCluster(t, dbd.Options{})
 	r := guarded(t, cl, g)
@@ -107,7 +108,8 @@
 	return ""
 }
 
-// A service receives another service's answer, and its own request does not run.
+// checkKeyUser looks for a service that receives another service's answer, while its own request
+// does not run.
 func checkKeyUser(t *testing.T, g guard.Set) string {
 	cl := startCluster(t, dbd.Options{})
 	r := guarded(t, cl, g)
@@ -122,7 +124,8 @@
 	return ""
 }
 
-// A key is reused for another purchase, and the caller receives the answer to the first one.
+// checkDigest looks for a key that is reused for another purchase and whose caller receives the
+// answer to the first one.
 func checkDigest(t *testing.T, g guard.Set) string {
 	c := guarded(t, startCluster(t, dbd.Options{}), g).connect(t)
 	_, err := purchase(c, "k", "p1")
@@ -133,7 +136,8 @@
 	return ""
 }
 
-// A ROLLBACK inside a keyed request drops the key's row, so a repeat of the request runs again.
+// checkControl looks for a ROLLBACK inside a keyed request that drops the key's row, so that a repeat
+// of the request runs again.
 func checkControl(t *testing.T, g guard.Set) string {
 	c := guarded(t, startCluster(t, dbd.Options{}), g).connect(t)
 	exec(t, c, "INSERT INTO passes (id, seat) VALUES ('n', 0)")
@@ -150,7 +154,7 @@
 	return ""
 }
 
-// A message that answers no request becomes part of an answer.
+// checkStray looks for a message that answers no request and becomes part of an answer.
 func checkStray(t *testing.T, g guard.Set) string {
 	cl := startCluster(t, dbd.Options{})
 	startScripted(t, cl, func(b *pgproto3.Backend, _ string) {
@@ -164,7 +168,7 @@
 	return ""
 }
 
-// A prepared statement of one caller is visible to the next one.
+// checkReset looks for a prepared statement of one caller that is visible to the next one.
 func checkReset(t *testing.T, g guard.Set) string {
 	cl := startCluster(t, dbd.Options{})
 	r := guarded(t, cl, g)
@@ -178,7 +182,7 @@
 	return ""
 }
 
-// A transaction that its caller left open is continued by the next caller.
+// checkClean looks for a transaction that its caller left open and that the next caller continues.
 func checkClean(t *testing.T, g guard.Set) string {
 	cl := startCluster(t, dbd.Options{})
 	r := guarded(t, cl, g)
--- a/proxy/input_test.go
+++ b/proxy/input_test.go
@@ -133,10 +133,10 @@
 	r := startProxy(t, cl)
 	otherKeys, err := session.NewKeys("k1", map[string][]byte{"k1": bytes.Repeat([]byte("f"), session.MinKeyBytes)})
 	require.NoError(t, err)
-	marks := session.Watermarks{"ledger": cl.primary().Status().Position()}
-	forged, err := otherKeys.Issue("app", marks, time.Now())
+	watermarks := session.Watermarks{"ledger": cl.primary().Status().Position()}
+	forged, err := otherKeys.Issue("app", watermarks, time.Now())
 	require.NoError(t, err)
-	foreign, err := cl.keys.Issue("other", marks, time.Now())
+	foreign, err := cl.keys.Issue("other", watermarks, time.Now())
 	require.NoError(t, err)
 	for name, c := range map[string]struct {
 		change func(*pgx.ConnConfig)
--- a/proxy/session_test.go
+++ b/proxy/session_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestForeignCancelIsForwardedAndAWrongSecretIgnored(t *testing.T) {
+func TestCancelForAnotherProxyIsForwardedAndAWrongSecretIgnored(t *testing.T) {
 	cl := startCluster(t, dbd.Options{})
 	var mu sync.Mutex
 	var forwarded []uint32
--- a/proxy/startup.go
+++ b/proxy/startup.go
@@ -169,11 +169,11 @@
 	if token == "" {
 		return nil
 	}
-	marks, err := s.srv.cfg.Tokens.Verify(token, s.state.User, time.Now())
+	watermarks, err := s.srv.cfg.Tokens.Verify(token, s.state.User, time.Now())
 	if err != nil {
 		return refuse(outcome.CodeInvalidParameter, paramToken+": "+err.Error())
 	}
-	s.state.Watermarks = marks
+	s.state.Watermarks = watermarks
 	return nil
 }
 
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -41,7 +41,7 @@
 	require.Equal(t, want.String(), e.Fault.String())
 }
 
-func TestTokenCarriesMarksExactly(t *testing.T) {
+func TestTokenCarriesWatermarksExactly(t *testing.T) {
 	k := newKeys(t)
 	got, err := k.Verify(issue(t, k, "portal"), "portal", start.Add(time.Hour))
 	require.NoError(t, err)
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestMarksThatDoNotFitAreNotDroppedSilently(t *testing.T) {
+func TestWatermarksThatDoNotFitAreNotDroppedSilently(t *testing.T) {
 	k := newKeys(t)
 	many := Watermarks{}
 	for i := range MaxGroups + 1 {
@@ -153,9 +153,9 @@
 		return Watermarks{"ledger-0": {Term: term, LSN: lsn}}
 	}
 	cases := []struct {
-		name  string
-		marks Watermarks
-		want  Floor
+		name       string
+		watermarks Watermarks
+		want       Floor
 	}{
 		{"no token", Watermarks{}, Floor{}},
 		{"another group only", Watermarks{"ledger-1": {Term: 1, LSN: 9}}, Floor{}},
@@ -165,7 +165,7 @@
 		{"view is behind", at(4, 210), Floor{timeline.Position{Term: 4, LSN: 210}, SourceAhead}},
 	}
 	for _, c := range cases {
-		require.Equal(t, c.want, FloorOf(c.marks, group), c.name)
+		require.Equal(t, c.want, FloorOf(c.watermarks, group), c.name)
 	}
 }
 
@@ -177,11 +177,11 @@
 	f.Add(good[:len(good)-2], "portal")
 	f.Add("eyJhbGciOiJub25lIn0.e30.", "")
 	f.Fuzz(func(t *testing.T, token, user string) {
-		marks, err := k.Verify(token, user, start)
+		watermarks, err := k.Verify(token, user, start)
 		if err != nil {
 			var e *TokenError
 			require.True(t, errors.As(err, &e))
-			require.Nil(t, marks)
+			require.Nil(t, watermarks)
 			return
 		}
 		require.Equal(t, good, token)
--- a/target/pgtarget/pgtarget.go
+++ b/target/pgtarget/pgtarget.go
@@ -212,7 +212,7 @@
 
 // wrapError converts a refusal into a *target.FencedError and adds the server's name to any other
 // error.
-func (d *Database) wrapError(err error, ordered timeline.Term) error {
+func (d *Database) wrapError(err error, commandTerm timeline.Term) error {
 	var pgErr *pgconn.PgError
 	if !errors.As(err, &pgErr) || pgErr.Code != codeRefused {
 		return errors.Wrapf(err, "server %s", d.id)
@@ -222,7 +222,7 @@
 	if !ok || perr != nil {
 		return errors.Wrapf(err, "server %s", d.id)
 	}
-	return &target.FencedError{Server: d.id, CommandTerm: ordered, Promised: timeline.Term(promised)}
+	return &target.FencedError{Server: d.id, CommandTerm: commandTerm, Promised: timeline.Term(promised)}
 }
 
 func termText(t timeline.Term) string { return strconv.FormatUint(uint64(t), 10) }
