--- a/controller/assignment.go
+++ b/controller/assignment.go
@@ -27,7 +27,7 @@
 	// the longer one that results from their share of the budget at thousands of VMs, stays below
 	// the two minutes for which membership considers a VM live on peers' reports alone.
 	nonWatcherListInterval = 30 * time.Second
-	// watchTopic is the key under which store watchers are assigned.
+	// watchTopic is the key under which the designated watchers of the store are assigned.
 	watchTopic = "store-watch"
 )
 
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -60,8 +60,9 @@
 //
 // Failure guarded against: a VM is partitioned for an hour while a new set is published, and is
 // shown as current because peers keep forwarding its record. Each report therefore carries its
-// age, and a record without a report changes nothing. Within one incarnation, only a greater
-// generation or a more recent report replaces the recorded one.
+// age, and a record without a report adds no generation and no age. Within one incarnation, only a
+// greater generation or a more recent report replaces the recorded one; the first record of a later
+// incarnation discards what the earlier one reported.
 func (f *Fleet) RecordReport(m *peerpb.Member) {
 	if m.GetVm() == "" || m.GetVm() == f.self {
 		return
--- a/controller/manager.go
+++ b/controller/manager.go
@@ -53,8 +53,8 @@
 }
 
 // Reassign starts and stops controllers after a change of the assignment. A controller that is
-// stopped during a promotion leaves a reserved term unused; the group's other probers continue
-// with a later term.
+// stopped during a promotion attempt leaves the attempt unfinished in its term; the group's other
+// probers continue with a later term.
 func (m *Manager) Reassign() {
 	for _, group := range m.Views.Load().Groups {
 		m.controllerFor(group)
--- a/controller/watcher.go
+++ b/controller/watcher.go
@@ -25,8 +25,8 @@
 // was deleted.
 type handler func(ctx context.Context, changed []store.Object, revision int64)
 
-// Watcher watches the objects below one prefix while this VM is one of the few store watchers of
-// its availability zone. All other VMs receive the changes from peers.
+// Watcher watches the objects below one prefix while this VM is one of the few designated watchers
+// of its availability zone. All other VMs receive the changes from peers.
 type Watcher struct {
 	Store   store.Store
 	Purpose store.Purpose
