--- a/publication/draft.go
+++ b/publication/draft.go
@@ -143,25 +143,25 @@
 		return nil, Superseded(current, "draft %s was reviewed against generation %d; review it again", d.ID, d.Review.Base.Generation)
 	}
 	next := Version{Generation: current.version().Generation + 1, Digest: d.Digest}
-	act := s.act(audit.ProfilePublished, "profiles", label(current.version()), label(next))
-	act.Reviewer = d.Review.Reviewer
+	entry := s.newEntry(audit.ProfilePublished, "profiles", label(current.version()), label(next))
+	entry.Reviewer = d.Review.Reviewer
 	return &Record{
 		Version: next, Text: d.Text, Draft: d.ID,
 		Author: d.Author, Reviewer: d.Review.Reviewer, Publisher: s.Actor, Published: s.At.Time,
-		Accepted: d.Review.Accepted, Replaced: current.version(), Entry: act,
+		Accepted: d.Review.Accepted, Replaced: current.version(), Entry: entry,
 	}, nil
 }
 
 func (d Draft) record(s Step, action audit.Action, from, to string) Draft {
-	act := s.act(action, "profiles/drafts/"+d.ID, from, to)
+	entry := s.newEntry(action, "profiles/drafts/"+d.ID, from, to)
 	if d.Review != nil {
-		act.Reviewer = d.Review.Reviewer
+		entry.Reviewer = d.Review.Reviewer
 	}
-	d.Entries = append(slices.Clone(d.Entries), act)
+	d.Entries = append(slices.Clone(d.Entries), entry)
 	return d
 }
 
-func (s Step) act(action audit.Action, subject, from, to string) PendingEntry {
+func (s Step) newEntry(action audit.Action, subject, from, to string) PendingEntry {
 	return PendingEntry{
 		Draft: audit.Draft{ID: s.ID, Time: s.At.Time, Actor: s.Actor, Action: action, Reason: s.Reason, Subject: subject, From: from, To: to},
 		Since: s.At.Since,
--- a/publication/store/matrix_test.go
+++ b/publication/store/matrix_test.go
@@ -192,7 +192,7 @@
 	require.Greater(t, tried, 100)
 }
 
-// sweep runs the cells with the guards given disabled, until visit returns false.
+// sweep runs the cells with the given guards disabled, until visit returns false.
 func sweep(t *testing.T, guards guard.Set, visit func(c cell, outcome string, violation error) bool) {
 	t.Helper()
 	for _, command := range commands {
--- a/publication/store/store.go
+++ b/publication/store/store.go
@@ -61,8 +61,8 @@
 
 // Guards that a test can disable.
 const (
-	// GuardReadBack determines the outcome of an update whose answer was lost by the audit entry
-	// that the object carries.
+	// GuardReadBack determines, by the audit entry that the object carries, the outcome of an update
+	// whose answer was lost.
 	GuardReadBack guard.Name = "publication/read-back"
 	// GuardSettle settles a record before the next one replaces it.
 	GuardSettle guard.Name = "publication/settle-before-replace"
--- a/publication/store/store_test.go
+++ b/publication/store/store_test.go
@@ -35,7 +35,7 @@
 
 func open(p store.Store) *Store { return New(p, noon).WithPause(time.Millisecond) }
 
-// without opens the store with the guards given disabled.
+// without opens the store with the given guards disabled.
 func without(p store.Store, guards guard.Set) *Store {
 	s := open(p)
 	s.guards = guards
--- a/store/platform.go
+++ b/store/platform.go
@@ -1,7 +1,8 @@
 // Package store defines the interface Store to the platform's object API: versioned values,
 // conditional updates, lists, watches, and the eventually consistent list of VMs. All persistent state
-// of endivemoor is behind this interface. Each call names its purpose, so that metrics show which
-// purposes use the fixed budget of calls. Package store/client implements Store over HTTP.
+// of endivemoor is behind this interface. Each call names its purpose, by
+// which the fixed budget of calls is divided and metrics count its use. Package store/client
+// implements Store over HTTP.
 package store
 
 import (
