--- a/promoter/attempt.go
+++ b/promoter/attempt.go
@@ -199,7 +199,7 @@
 // repeated for the same target only, since the platform may have executed it.
 func (a *attempt) designate(ctx context.Context, id target.ID) error {
 	for {
-		left := takeover.CommandLimit - a.elapsed()
+		left := takeover.PromotionLimit - a.elapsed()
 		if left <= 0 {
 			return errTimeLimit
 		}
--- a/promoter/guards_test.go
+++ b/promoter/guards_test.go
@@ -121,7 +121,7 @@
 	open := &catalog.LeadershipRecord{Service: "s", Revision: 9, Holder: "vm2", Attempt: &catalog.Attempt{Holder: "vm2", Nonce: "n"}}
 	start := clock.Time(time.Second)
 	require.True(t, p.otherAttempt(open, w, start))
-	require.True(t, p.otherAttempt(open, w, start.Add(takeover.CommandLimit)))
+	require.True(t, p.otherAttempt(open, w, start.Add(takeover.PromotionLimit)))
 	require.True(t, p.otherAttempt(open, w, start.Add(takeover.ExpireAfter-1)))
 	require.False(t, p.otherAttempt(open, w, start.Add(takeover.ExpireAfter)))
 	renewed := &catalog.LeadershipRecord{Service: "s", Revision: 10, Holder: "vm3", Attempt: &catalog.Attempt{Holder: "vm3", Nonce: "m"}}
--- a/promoter/restore_test.go
+++ b/promoter/restore_test.go
@@ -36,7 +36,7 @@
 	p := New(restoredStore(2, at))
 	require.True(t, p.restoredRecently(at.Add(takeover.SettlePeriod-1)))
 	require.False(t, p.restoredRecently(at.Add(takeover.SettlePeriod)))
-	require.Greater(t, takeover.SettlePeriod, takeover.CommandLimit, "no call of the former era is still sent")
+	require.Greater(t, takeover.SettlePeriod, takeover.PromotionLimit, "no call of the former era is still sent")
 	require.False(t, New(restoredStore(1, 0)).restoredRecently(at), "the first era is no restore")
 }
 
--- a/takeover/doc.go
+++ b/takeover/doc.go
@@ -19,7 +19,7 @@
 // A change is an attempt recorded in the store by a conditional update. The revision of that update
 // is the fencing token of the attempt's calls, so that a later holder always has a higher one. An
 // attempt that is not ended expires once other VMs have seen its record unchanged for ExpireAfter
-// on their own clock. Its holder orders no promotion after CommandLimit, which is shorter by the
+// on their own clock. Its holder orders no promotion after PromotionLimit, which is shorter by the
 // time that a call may take to arrive.
 //
 // # Why package failover is not used here
--- a/takeover/takeover.go
+++ b/takeover/takeover.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// CommandLimit is how long after it was recorded an attempt may order a promotion.
-	CommandLimit = 2500 * time.Millisecond
+	// PromotionLimit is how long after it was recorded an attempt may order a promotion.
+	PromotionLimit = 2500 * time.Millisecond
 	// ExpireAfter is how long other VMs must see an attempt unchanged before they consider its
-	// holder dead. It exceeds CommandLimit by the longest time that a call may take to arrive.
+	// holder dead. It exceeds PromotionLimit by the longest time that a call may take to arrive.
 	ExpireAfter = 5 * time.Second
 	// OwnExpireAfter is the same for an attempt that an earlier process of this VM has made: that
 	// process sends no further command. Commands that it has sent must have arrived: together with
 	// the time that a process takes to restart, this leaves them as long as ExpireAfter does after
-	// CommandLimit.
+	// PromotionLimit.
 	OwnExpireAfter = 2 * time.Second
 	// SettlePeriod is how long after the end of another VM's attempt no new one begins. The
 	// platform lets the holder of a duty keep it for three seconds. A service that changes its
--- a/takeover/takeover_test.go
+++ b/takeover/takeover_test.go
@@ -110,6 +110,6 @@
 // Safety depends on these relations: a call to promote a target must have arrived before other VMs
 // may act, and a permission must have expired within an attempt's time.
 func TestTimeLimitsAreConsistent(t *testing.T) {
-	require.Greater(t, ExpireAfter, CommandLimit+2*time.Second)
-	require.Less(t, Permission, CommandLimit/2)
+	require.Greater(t, ExpireAfter, PromotionLimit+2*time.Second)
+	require.Less(t, Permission, PromotionLimit/2)
 }
