--- a/internal/demo/caller.go
+++ b/internal/demo/caller.go
@@ -17,7 +17,7 @@
 func (d *demo) connect(ctx context.Context, i int, token string) (*pgx.Conn, error) {
 	cfg, err := pgx.ParseConfig("postgres://" + d.Callers[i] + "/" + d.Group + "?sslmode=disable")
 	if err != nil {
-		return nil, errors.Wrap(err, "caller's settings")
+		return nil, errors.Wrap(err, "parse connection string of the daemon")
 	}
 	cfg.User = d.User
 	cfg.Password = d.Password
@@ -41,7 +41,7 @@
 func purchase(ctx context.Context, conn *pgx.Conn, key, id string) error {
 	const insert = "INSERT INTO passes(id, flight, price) VALUES ($1, 'SK101', '12')"
 	_, err := conn.Exec(ctx, tagged("purchase", key, insert), pgx.QueryExecModeExec, id)
-	return errors.Wrap(err, "purchase "+id)
+	return errors.Wrap(err, "purchase pass "+id)
 }
 
 // count returns the number of passes with the id, in a read of kind balance.
@@ -49,7 +49,7 @@
 	const query = "SELECT count(*) FROM passes WHERE id = $1"
 	var n string
 	err := conn.QueryRow(ctx, tagged("balance", "", query), pgx.QueryExecModeExec, id).Scan(&n)
-	return n, errors.Wrap(err, "read "+id)
+	return n, errors.Wrap(err, "count rows of pass "+id)
 }
 
 // expectOne returns an error unless the pass exists exactly once.
@@ -59,7 +59,7 @@
 		return err
 	}
 	if n != "1" {
-		return errors.Errorf("pass %s is there %s times", id, n)
+		return errors.Errorf("count rows of pass %s: got %s, want 1", id, n)
 	}
 	return nil
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -107,7 +107,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrap(err, "gave up waiting")
+			return errors.Wrap(err, "condition not met by the step's deadline")
 		case <-time.After(pollInterval):
 		}
 	}
--- a/internal/demo/http.go
+++ b/internal/demo/http.go
@@ -13,7 +13,7 @@
 func get(ctx context.Context, addr, path string) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
-		return 0, nil, errors.Wrap(err, "request")
+		return 0, nil, errors.Wrap(err, "build HTTP request")
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
--- a/internal/demo/steps.go
+++ b/internal/demo/steps.go
@@ -38,7 +38,7 @@
 	}
 	d.token = conn.PgConn().ParameterStatus(sessionParam)
 	if d.token == "" {
-		return "", errors.New("no session token came with the answer")
+		return "", errors.New("purchase through daemon 1: connection reports no session token")
 	}
 	return "bought " + firstPass + " through daemon 1", nil
 }
@@ -96,12 +96,12 @@
 func killServer(ctx context.Context, control string) error {
 	resp, err := http.Post("http://"+control+"/fault?kind=kill", "", nil)
 	if err != nil {
-		return errors.Wrap(err, "kill")
+		return errors.Wrap(err, "send kill fault to the server")
 	}
 	resp.Body.Close()
 	return poll(ctx, func() error {
 		if _, _, err := get(ctx, control, "/status"); err == nil {
-			return errors.New("the server still runs")
+			return errors.New("kill server: its control endpoint still answers /status")
 		}
 		return nil
 	})
@@ -136,7 +136,7 @@
 		return "", err
 	}
 	if err = os.WriteFile(d.Ctl, []byte("go\n"), 0o600); err != nil {
-		return "", errors.Wrap(err, "signal to publish")
+		return "", errors.Wrap(err, "signal the script to publish the profile")
 	}
 	for _, addr := range d.Admin {
 		err = poll(ctx, func() error { return expectGenerationAbove(ctx, addr, before) })
@@ -153,7 +153,7 @@
 		return err
 	}
 	if now <= before {
-		return errors.Errorf("%s still has generation %d", addr, now)
+		return errors.Errorf("profile change not in force on daemon %s: /status still reports generation %d", addr, now)
 	}
 	return nil
 }
@@ -168,20 +168,20 @@
 	}
 	defer conn.Close(ctx)
 	if _, err = conn.Exec(ctx, tagged("purchase", "key-3", "BEGIN")); err != nil {
-		return "", errors.Wrap(err, "begin")
+		return "", errors.Wrap(err, "begin transaction on the last daemon")
 	}
 	if err = syscall.Kill(d.DrainPID, syscall.SIGTERM); err != nil {
-		return "", errors.Wrap(err, "SIGTERM")
+		return "", errors.Wrap(err, "send SIGTERM to the last daemon")
 	}
 	if err = poll(ctx, func() error { return expectNotReady(ctx, d.Admin[last]) }); err != nil {
 		return "", err
 	}
 	const insert = "INSERT INTO passes(id, flight, price) VALUES ('" + heldPass + "', 'SK101', '12')"
 	if _, err = conn.Exec(ctx, insert); err != nil {
-		return "", errors.Wrap(err, "insert while draining")
+		return "", errors.Wrap(err, "insert through the draining daemon")
 	}
 	if _, err = conn.Exec(ctx, "COMMIT"); err != nil {
-		return "", errors.Wrap(err, "commit while draining")
+		return "", errors.Wrap(err, "commit through the draining daemon")
 	}
 	if err = poll(ctx, func() error { return expectExited(d.DrainPID) }); err != nil {
 		return "", err
@@ -200,7 +200,7 @@
 
 func expectExited(pid int) error {
 	if syscall.Kill(pid, 0) == nil {
-		return errors.Errorf("process %d still runs", pid)
+		return errors.Errorf("daemon process %d has not exited after SIGTERM", pid)
 	}
 	return nil
 }
@@ -211,7 +211,7 @@
 		return err
 	}
 	if code != http.StatusOK {
-		return errors.Errorf("%s%s answers %d", addr, path, code)
+		return errors.Errorf("GET %s%s: got status %d, want 200", addr, path, code)
 	}
 	return nil
 }
@@ -220,7 +220,7 @@
 // ready.
 func expectNotReady(ctx context.Context, addr string) error {
 	if expectOK(ctx, addr, "/readyz") == nil {
-		return errors.New(addr + " still says that it is ready")
+		return errors.New(addr + ": /readyz still reports ready after SIGTERM")
 	}
 	return nil
 }
@@ -233,5 +233,5 @@
 	var st struct {
 		Generation uint64 `json:"generation"`
 	}
-	return st.Generation, errors.Wrap(json.Unmarshal(body, &st), "status")
+	return st.Generation, errors.Wrap(json.Unmarshal(body, &st), "decode reply of /status")
 }
