--- a/internal/load/control.go
+++ b/internal/load/control.go
@@ -111,7 +111,7 @@
 	}
 	file, err := os.OpenFile(c.CSV, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
-		return errors.Wrap(err, "note the result")
+		return errors.Wrap(err, "open CSV file of results")
 	}
 	defer file.Close()
 	row := []string{strconv.Itoa(len(c.Admins)), strconv.Itoa(c.Groups)}
--- a/internal/load/fleet.go
+++ b/internal/load/fleet.go
@@ -58,10 +58,10 @@
 // Run writes the files.
 func (f *Fleet) Run(_ context.Context, out io.Writer) error {
 	if f.Daemons < 1 || f.Daemons > portsPerKind || f.Groups*serversPerGroup > portsPerKind || f.Zones < 1 {
-		return errors.Errorf("at most %d daemons and %d groups, at least one zone", portsPerKind, portsPerKind/serversPerGroup)
+		return errors.Errorf("write fleet: needs 1 to %d daemons, at most %d groups and at least one zone", portsPerKind, portsPerKind/serversPerGroup)
 	}
 	if err := os.MkdirAll(filepath.Join(f.Dir, "objects", "groups"), 0o755); err != nil {
-		return errors.Wrap(err, "fleet")
+		return errors.Wrap(err, "create directory of groups")
 	}
 	for n := range f.Groups {
 		g := f.group(n)
@@ -136,13 +136,13 @@
 	if err != nil {
 		return errors.Wrap(err, name)
 	}
-	return errors.Wrap(os.WriteFile(filepath.Join(f.Dir, name), raw, 0o644), "fleet")
+	return errors.Wrap(os.WriteFile(filepath.Join(f.Dir, name), raw, 0o644), "write file of the fleet")
 }
 
 func (f *Fleet) write(name string, t *template.Template, v any) error {
 	file, err := os.Create(filepath.Join(f.Dir, name))
 	if err != nil {
-		return errors.Wrap(err, "fleet")
+		return errors.Wrap(err, "create file of the fleet")
 	}
 	defer file.Close()
 	return errors.Wrap(t.Execute(file, v), name)
--- a/internal/load/gap.go
+++ b/internal/load/gap.go
@@ -210,7 +210,7 @@
 			}
 		}
 		if ctx.Err() != nil {
-			return errors.Errorf("the mended server does not follow: %v", err)
+			return errors.Errorf("repaired server did not reach its group's term before the deadline: %v", err)
 		}
 		time.Sleep(statusPollInterval)
 	}
@@ -248,7 +248,7 @@
 func getJSON(ctx context.Context, url string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return errors.Wrap(err, "request")
+		return errors.Wrap(err, "build HTTP request")
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -287,7 +287,7 @@
 	}
 	resp, err := http.Post("http://"+control+"/fault?"+v.Encode(), "", nil)
 	if err != nil {
-		return errors.Wrap(err, "fault control")
+		return errors.Wrap(err, "send fault to the control endpoint")
 	}
 	resp.Body.Close()
 	if resp.StatusCode >= http.StatusBadRequest {
@@ -356,7 +356,7 @@
 		err := conn.QueryRow(ctx, "/*endivemoor kind=balance*/ "+readSQL, id).Scan(&n)
 		switch {
 		case err != nil:
-			return errors.Wrap(err, "look for "+id)
+			return errors.Wrap(err, "count rows of purchase "+id)
 		case n == "0":
 			lost++
 		case n != "1":
@@ -368,7 +368,7 @@
 		fmt.Fprintf(out, "other error x%d: %s\n", n, text)
 	}
 	if lost+twice > 0 {
-		return errors.New("an acknowledged purchase is lost or doubled")
+		return errors.New("check acknowledged purchases: at least one is missing or stored more than once")
 	}
 	return nil
 }
--- a/internal/load/spread.go
+++ b/internal/load/spread.go
@@ -109,15 +109,15 @@
 		err = found.Err()
 	}
 	if err != nil {
-		return 0, time.Time{}, errors.Wrap(err, "draft")
+		return 0, time.Time{}, errors.Wrap(err, "create profile draft")
 	}
 	if _, err = profiles.Review(ctx, store.Attribution{Actor: "brendan", Reason: "measure"}, draft.ID, nil); err != nil {
-		return 0, time.Time{}, errors.Wrap(err, "review")
+		return 0, time.Time{}, errors.Wrap(err, "review profile draft")
 	}
 	begin := time.Now()
 	done, err := profiles.Publish(ctx, store.Attribution{Actor: "aoife", Reason: "measure"}, draft.ID)
 	if err != nil {
-		return 0, begin, errors.Wrap(err, "publish")
+		return 0, begin, errors.Wrap(err, "publish profile")
 	}
 	return uint64(done.Record.Generation), begin, nil
 }
@@ -131,7 +131,7 @@
 	}
 	resp, err := http.Post("http://"+s.Platform+"/fault", "application/json", bytes.NewBufferString(`{"down": true}`))
 	if err != nil {
-		return errors.Wrap(err, "take the store down")
+		return errors.Wrap(err, "stop the store")
 	}
 	_ = resp.Body.Close()
 	down := time.Now()
