--- a/internal/experiment/capacity/example.go
+++ b/internal/experiment/capacity/example.go
@@ -31,7 +31,7 @@
 // in from, with the given numbers of VMs and of groups of three servers.
 func WriteExample(from, to string, groups, vms int) error {
 	if err := os.RemoveAll(to); err != nil {
-		return errors.Wrap(err, "clear the example")
+		return errors.Wrap(err, "remove old example directory")
 	}
 	if err := os.CopyFS(to, os.DirFS(from)); err != nil {
 		return errors.Wrap(err, "copy the example")
@@ -45,10 +45,10 @@
 func writeGroups(to string, n int) error {
 	dir := filepath.Join(to, groupsDir)
 	if err := os.RemoveAll(dir); err != nil {
-		return errors.Wrap(err, "clear the groups")
+		return errors.Wrap(err, "remove copied groups")
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return errors.Wrap(err, "make the groups")
+		return errors.Wrap(err, "create directory of the groups")
 	}
 	for i := range n {
 		g := exampleGroup(i)
@@ -62,9 +62,9 @@
 func writeJSON(path string, v any) error {
 	text, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
-		return errors.Wrap(err, "encode")
+		return errors.Wrap(err, "encode file of the example")
 	}
-	return errors.Wrap(os.WriteFile(path, text, 0o644), "write")
+	return errors.Wrap(os.WriteFile(path, text, 0o644), "write file of the example")
 }
 
 // writeVMs writes the settings of n VMs and the platform's list of VMs. The first VM keeps the
--- a/internal/experiment/capacity/process.go
+++ b/internal/experiment/capacity/process.go
@@ -87,7 +87,7 @@
 		for len(open) < n {
 			c, err := pgconn.Connect(context.Background(), d.URL)
 			if err != nil {
-				return nil, errors.Wrapf(err, "connection %d", len(open)+1)
+				return nil, errors.Wrapf(err, "open idle connection %d", len(open)+1)
 			}
 			open = append(open, c)
 		}
@@ -132,12 +132,12 @@
 		group.Go(func() error {
 			c, err := pgconn.Connect(context.Background(), d.URL)
 			if err != nil {
-				return errors.Wrap(err, "connect")
+				return errors.Wrap(err, "connect to the daemon")
 			}
 			defer func() { _ = c.Close(context.Background()) }()
 			for range n / workers {
 				if _, err := c.Exec(context.Background(), d.Statement).ReadAll(); err != nil {
-					return errors.Wrap(err, "statement")
+					return errors.Wrap(err, "run measured statement")
 				}
 			}
 			return nil
@@ -153,7 +153,7 @@
 		return 0, err
 	}
 	pages, err := strconv.Atoi(fields[1])
-	return float64(pages * os.Getpagesize()), errors.Wrap(err, "resident pages")
+	return float64(pages * os.Getpagesize()), errors.Wrap(err, "parse resident pages in /proc/<pid>/statm")
 }
 
 // processorTime returns the sum of the process's user and system time.
@@ -164,13 +164,13 @@
 	}
 	const user, system = 13, 14
 	if len(fields) <= system {
-		return 0, errors.New("short /proc stat")
+		return 0, errors.New("read processor time of the daemon: /proc/<pid>/stat has fewer than 15 fields")
 	}
 	sum := 0
 	for _, f := range fields[user : system+1] {
 		n, err := strconv.Atoi(f)
 		if err != nil {
-			return 0, errors.Wrap(err, "processor time")
+			return 0, errors.Wrap(err, "parse processor time in /proc/<pid>/stat")
 		}
 		sum += n
 	}
@@ -179,5 +179,5 @@
 
 func (d Daemon) proc(name string) ([]string, error) {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(d.PID), name))
-	return strings.Fields(string(text)), errors.Wrap(err, "read the process's figures")
+	return strings.Fields(string(text)), errors.Wrap(err, "read the daemon's files in /proc")
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -44,7 +44,7 @@
 // plot creates the directory for plots and returns the path of the named plot in it.
 func (o Options) plot(name string) (string, error) {
 	if err := os.MkdirAll(o.Plots, 0o755); err != nil {
-		return "", errors.Wrap(err, "make the directory for plots")
+		return "", errors.Wrap(err, "create directory for plots")
 	}
 	return filepath.Join(o.Plots, name), nil
 }
--- a/internal/experiment/live/live.go
+++ b/internal/experiment/live/live.go
@@ -113,7 +113,7 @@
 	for _, u := range w.c.URLs {
 		conn, err := pgconn.Connect(context.Background(), u)
 		if err != nil {
-			return errors.Wrap(err, "connect")
+			return errors.Wrap(err, "connect to a daemon")
 		}
 		w.conns = append(w.conns, conn)
 	}
@@ -155,7 +155,7 @@
 	from := w.rnd.IntN(len(w.conns))
 	insert := fmt.Sprintf("/*endivemoor kind=purchase&key=%s*/ INSERT INTO passes VALUES ('%s', 'EI1', '5')", id, id)
 	if _, err := w.conns[from].Exec(context.Background(), insert).ReadAll(); err != nil {
-		return errors.Wrap(err, "write")
+		return errors.Wrap(err, "insert pass")
 	}
 	token := w.conns[from].ParameterStatus(tokenParameter)
 	time.Sleep(time.Duration(w.rnd.ExpFloat64() * float64(thinkTime)))
@@ -183,11 +183,11 @@
 func (w *worker) reconnect(to int, token string) (*pgconn.PgConn, error) {
 	cfg, err := pgconn.ParseConfig(w.c.URLs[to])
 	if err != nil {
-		return nil, errors.Wrap(err, "connection string")
+		return nil, errors.Wrap(err, "parse connection string of a daemon")
 	}
 	cfg.RuntimeParams[tokenParameter] = token
 	conn, err := pgconn.ConnectConfig(context.Background(), cfg)
-	return conn, errors.Wrap(err, "roam")
+	return conn, errors.Wrap(err, "reconnect with session token")
 }
 
 // served returns the number of reads by the role of the server that served them, over all daemons.
