--- a/edge/fleetfollower.go
+++ b/edge/fleetfollower.go
@@ -50,7 +50,7 @@
 func decodeVM(node string, o *objects.Object) (catalog.VM, error) {
 	var r vmRecord
 	if err := json.Unmarshal(o.Spec, &r); err != nil {
-		return catalog.VM{}, errors.Wrapf(err, "entry of %s", node)
+		return catalog.VM{}, errors.Wrapf(err, "decode fleet entry of VM %s", node)
 	}
 	return catalog.VM{ID: node, Zone: r.Zone, Peer: r.Peer, Incarnation: r.Incarnation, Capacity: r.Capacity}, nil
 }
--- a/edge/leadership.go
+++ b/edge/leadership.go
@@ -20,7 +20,7 @@
 // readBackInterval is the pause between two attempts to read back a change whose reply was lost.
 const readBackInterval = 50 * time.Millisecond
 
-var errChangedByOther = errors.New("another VM has changed the record")
+var errChangedByOther = errors.New("read back leadership record: another VM has changed it")
 
 // Begin records a promotion attempt on top of the known record.
 func (r leadershipRecords) Begin(ctx context.Context, known *catalog.LeadershipRecord, a catalog.Attempt) (*catalog.LeadershipRecord, error) {
--- a/edge/watch.go
+++ b/edge/watch.go
@@ -31,8 +31,8 @@
 	// burstWithin is how soon after it was sent a watch call must return changes to count towards a
 	// burst.
 	burstWithin = 100 * time.Millisecond
-	// burstFrom is how many calls in a row make a burst. The changes of one event, such as a change
-	// of primary, are reported at once.
+	// burstFrom is how many such calls in a row make a burst. A single one does not delay the next
+	// call, so that the changes of one event, such as a change of primary, are read without a pause.
 	burstFrom = 2
 	// minBatchDelay and maxBatchDelay bound the pause in which the changes of a burst are batched.
 	minBatchDelay = 50 * time.Millisecond
