--- a/gossip/fetch.go
+++ b/gossip/fetch.go
@@ -46,7 +46,7 @@
 // is requested again; the ranges before it are kept.
 func (c *Clients) Fetch(ctx context.Context, addr string, q PullOptions, b Bulk) (*Update, error) {
 	if b.size > maxBulkBytes {
-		return nil, errors.Errorf("read bulk from %s: size of %d bytes exceeds the limit", addr, b.size)
+		return nil, errors.Errorf("read bulk from %s: size of %d bytes exceeds the limit of %d", addr, b.size, maxBulkBytes)
 	}
 	sent := c.clk.Now()
 	data := make([]byte, 0, b.size)
