--- a/profile/diff/diff.go
+++ b/profile/diff/diff.go
@@ -32,7 +32,7 @@
 	KindDropped Danger = "requests of this kind are refused"
 	// ProfileDropped causes sessions that select the profile to be refused.
 	ProfileDropped Danger = "sessions of this profile are refused"
-	// DeadlineShortened causes time-outs of requests that were served before.
+	// DeadlineShortened causes timeouts of requests that were served before.
 	DeadlineShortened Danger = "requests are given up on earlier"
 	// MovedToReplicas moves requests from the primary to replicas.
 	MovedToReplicas Danger = "requests move from the primary to replicas"
