--- a/internal/experiment/reads/run.go
+++ b/internal/experiment/reads/run.go
@@ -154,7 +154,7 @@
 	200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond,
 }
 
-// waitShares are the values of Evidence.WaitShare in the sweep: no wait, and a wait of up to an
+// waitShares are the values of EvidencePolicy.WaitShare in the sweep: no wait, and a wait of up to an
 // eighth, a sixth and a quarter of the deadline.
 var waitShares = []int{-1, 8, 6, 4}
 
