--- a/ctl/killed_test.go
+++ b/ctl/killed_test.go
@@ -81,7 +81,7 @@
 	return reviewedDraft(t, p, "aoife", "[shop]\n[shop.pay]\nworth = 3\n")
 }
 
-// reviewedDraft creates a reviewed reviewedDraft and returns its ID.
+// reviewedDraft creates a reviewed draft and returns its ID.
 func reviewedDraft(t *testing.T, p *platformd.Store, author, text string) string {
 	t.Helper()
 	ctx := context.Background()
