--- a/cmd/endivemoor-demo/main.go
+++ b/cmd/endivemoor-demo/main.go
@@ -1,5 +1,5 @@
 // Command endivemoor-demo acts as a caller and an operator against the processes that
-// examples/demo/run.sh started, and prints the result of each step.
+// examples/run.sh started, and prints the result of each step.
 package main
 
 import (
--- a/edge/gateway_test.go
+++ b/edge/gateway_test.go
@@ -174,7 +174,7 @@
 
 // Guards against: a write that waited for a connection at the gateway in vain and is reported in
 // doubt, as if the gateway had timed out. Idle transactions hold all connections to the target, so
-// the write was never sent and the consumer must receive that it has not run.
+// the write was never sent and the consumer must be told that it has not run.
 func TestPurchaseThatWaitedInVainAtTheGatewayHasNotRun(t *testing.T) {
 	runScarce(t, func(f *fleet) {
 		_, others := splitByGateway(f, "ledger-0", "a")
